--- /dev/null
+++ b/tests/features/replacements.feature
@@ -0,0 +1,65 @@
+Feature: replacements
+
+  Executors, their agents and the entries are replaced or restarted in a planned way, in virtual
+  time. Guards against long-running tasks that stay down although there is room for them: because
+  nobody tells the scheduler that an executor has shut down, or because a planned change of the
+  scheduler costs as much time as a crash.
+
+  # The scheduler got no notice that the executor had shut down, and waited for the lease to expire.
+  Scenario: replacements run a task again soon after its executor has shut down
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the executor of the host with most tasks shuts down without time to stop them
+    Then no task of the replacements was down for longer than 1.5 seconds
+    And no task of the replacements ran twice at the same time
+
+  # The next scheduler never heard of an executor that had shut down before it was elected.
+  Scenario: replacements tell the next scheduler of an executor that shut down before
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the executor of the host with most tasks shuts down without time to stop them, just after the scheduler was killed
+    Then no task of the replacements was down for longer than 4 seconds
+    And no task of the replacements ran twice at the same time
+
+  # An agent that was stopped before a scheduler was elected took its knowledge with it.
+  Scenario: replacements let no agent stop before a scheduler knows that its executor shut down
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the executor of the host with most tasks shuts down without time to stop them, just after the scheduler was killed
+    And that host's agent is told to stop 0.2 seconds later
+    Then no task of the replacements was down for longer than 4 seconds
+    And no task of the replacements ran twice at the same time
+
+  # Checkpoints of runs that ended with their executor were lost with it.
+  Scenario: replacements resume tasks from the checkpoints that a leaving executor reported last
+    Given a world of replacements with 2 entries and 4 hosts
+    And tasks of the replacements take 20 seconds and make a checkpoint each second
+    And 6 tasks with checkpoints at work for 5 seconds
+    When the executor of the host with most tasks shuts down without time to stop them, just after the scheduler was killed
+    Then the job of the replacements is completed within 30 seconds
+    And each later run of the replacements resumed from at least 3 seconds of work
+    And no task of the replacements ran twice at the same time
+
+  # A deregistration that arrives late, of an earlier incarnation, must not end a live executor.
+  Scenario: replacements keep the runs of an executor that still answers after a deregistration
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When a late deregistration arrives at the agent of the host with most tasks
+    Then no task of the replacements was down for longer than 0 seconds
+    And no task of the replacements ran twice at the same time
+
+  # While all entries were shutting down none of them scheduled, although they served on for seconds.
+  Scenario: replacements keep a scheduler while all entries restart in turn
+    Given a world of replacements with 3 entries and 4 hosts
+    And 6 long-running tasks at work
+    When all entries restart in turn, 2 seconds apart, each serving for 4.5 more seconds
+    Then the replacements had a scheduler all the time, but for 0.5 seconds
+
+  # Incident inc1: tasks were down for over 13 seconds.
+  Scenario: replacements run tasks again soon while executors are replaced and entries restart in turn
+    Given a world of replacements with 3 entries and 8 hosts
+    And 24 long-running tasks at work
+    When all entries restart in turn, 2 seconds apart, each serving for 4.5 more seconds
+    And 5 hosts are replaced from second 3 on, 0.7 seconds apart
+    Then no task of the replacements was down for longer than 4 seconds
+    And no task of the replacements ran twice at the same time
--- /dev/null
+++ b/tests/features/steps/replacements_steps.py
@@ -0,0 +1,269 @@
+"""Steps for replacements.feature; the world runs in virtual time at the first check."""
+
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import anyio
+from behave import given, then, when
+
+from apricotpath.boottime import boot_s
+from apricotpath.ids import JobId
+from apricotpath.model import Size
+from apricotpath.workload import Step
+from support.jobworld import JobWorld, run_virtual
+
+CORE = Size(1000, 100, 0)
+HOST = Size(8000, 8000, 0)
+# How often the running tasks are looked at.
+SAMPLE_S = 0.05
+# Time between the last event of a scenario and its checks.
+SETTLE_S = 16.0
+# Time between the notice of an executor and its end, and between that and its agent's SIGTERM.
+DRAIN_S = 3.5
+AGENT_STOP_DELAY_S = 1.0
+RESTART_DELAY_S = 1.0
+# How long it takes until agents find an entry that has started again.
+LOOKUP_S = 2.0
+Action = Callable[["Replacements"], Awaitable[None]]
+
+
+class Replacements:
+    """Actions of a scenario on a world, and how long tasks and the scheduler were away."""
+
+    def __init__(self, entries: int, hosts: int) -> None:
+        self.entries, self.hosts = entries, hosts
+        self.seconds, self.checkpoint_s = 1000.0, 0.0
+        self.actions: list[Action] = []
+        self.background: list[Action] = []
+        self.job = JobId("")
+        self.busiest = ""
+        self.final_state = ""
+        self.tasks_expected = 0
+        self.down_s: dict[str, float] = {}
+        self.longest_down_s: dict[str, float] = {}
+        self.without_scheduler_s = 0.0
+        self.violations: list[str] = []
+        self._world: JobWorld | None = None
+        self._ran = False
+
+    @property
+    def world(self) -> JobWorld:
+        assert self._world is not None
+        return self._world
+
+    def run(self) -> None:
+        """Run the scenario once; later checks use the recorded results."""
+        if not self._ran:
+            self._ran = True
+            run_virtual(self._main)
+
+    async def _main(self) -> None:
+        async with anyio.create_task_group() as group:
+            world = self._world = JobWorld(group)
+            world.behaviour.seconds = self.seconds
+            world.behaviour.checkpoint_s = self.checkpoint_s
+            for number in range(self.entries):
+                world.add_entry(f"entry{number}")
+            for number in range(self.hosts):
+                world.add_agent(f"host{number}", HOST)
+            await world.wait_until_attached()
+            for action in self.actions:
+                await action(self)
+            async with anyio.create_task_group() as watched:
+                group.start_soon(self._watch)
+                for action in self.background:
+                    watched.start_soon(action, self)
+            await anyio.sleep(SETTLE_S)
+            self.violations = world.violations()
+            group.cancel_scope.cancel()
+
+    async def _watch(self) -> None:
+        """Record how long tasks do not run, and how long there is no scheduler."""
+        while True:
+            await anyio.sleep(SAMPLE_S)
+            if self.world.leader() is None:
+                self.without_scheduler_s += SAMPLE_S
+            running = self.running_tasks()
+            for number in range(self.tasks_expected):
+                task = f"{self.job}.0.0.{number}"
+                self.down_s[task] = 0.0 if task in running else self.down_s.get(task, 0) + SAMPLE_S
+                longest = max(self.longest_down_s.get(task, 0.0), self.down_s[task])
+                self.longest_down_s[task] = longest
+
+    def running_tasks(self) -> set[str]:
+        """Return the tasks that run at an executor now."""
+        models = [node.model for node in self.world.agents.values()]
+        return {str(task) for model in models for task, _ in model.runs}
+
+    async def start_tasks(self, step: Step, work_s: float) -> None:
+        """Submit a job of one step and wait until all its tasks are at work."""
+        self.job = await self.world.submit(step)
+        with anyio.fail_after(5):
+            while len(self.running_tasks()) < step.count:
+                await anyio.sleep(SAMPLE_S)
+        await anyio.sleep(work_s)
+        agents = self.world.agents
+        self.busiest = max(agents, key=lambda name: len(agents[name].model.runs))
+
+    async def shut_down_executor(self, name: str) -> None:
+        """End an executor and all its runs, and deregister it at its agent."""
+        node = self.world.agents[name]
+        node.sends_heartbeats = False
+        node.model.shut_down()
+        node.agent.on_executor_shutdown(node.model.name)
+
+    async def replace_host(self, number: int) -> None:
+        """Add a host, drain and end the executor of another one, then stop its agent."""
+        old = f"host{number}"
+        self.world.add_agent(f"new{number}", HOST)
+        node = self.world.agents[old]
+        node.drain_until = boot_s() + DRAIN_S
+        await anyio.sleep(DRAIN_S)
+        await self.shut_down_executor(old)
+        await anyio.sleep(AGENT_STOP_DELAY_S)
+        await self.world.stop_agent(old)
+
+    async def restart_entry(self, name: str, serving_s: float) -> None:
+        """Shut an entry down gracefully and start it again."""
+        await self.world.stop_entry(name, serving_s)
+        await anyio.sleep(RESTART_DELAY_S)
+        self.world.add_entry(name, agents_link_after_s=LOOKUP_S)
+
+
+def scenario(context: Any) -> Replacements:
+    found: Replacements = context.replacements
+    return found
+
+
+@given("a world of replacements with {entries:d} entries and {hosts:d} hosts")
+def create(context: Any, entries: int, hosts: int) -> None:
+    context.replacements = Replacements(entries, hosts)
+
+
+@given("tasks of the replacements take {seconds:d} seconds and make a checkpoint each second")
+def set_run_time(context: Any, seconds: int) -> None:
+    scenario(context).seconds, scenario(context).checkpoint_s = float(seconds), 1.0
+
+
+@given("{count:d} long-running tasks at work")
+def start_long_running(context: Any, count: int) -> None:
+    async def act(run: Replacements) -> None:
+        run.tasks_expected = count
+        await run.start_tasks(Step(count, CORE, long_running=True, max_per_host=4), 1.0)
+
+    scenario(context).actions.append(act)
+
+
+@given("{count:d} tasks with checkpoints at work for {work_s:d} seconds")
+def start_with_checkpoints(context: Any, count: int, work_s: int) -> None:
+    async def act(run: Replacements) -> None:
+        step = Step(count, CORE, run.seconds, checkpoints=True, max_per_host=4)
+        await run.start_tasks(step, float(work_s))
+
+    scenario(context).actions.append(act)
+
+
+@when("the executor of the host with most tasks shuts down without time to stop them")
+def shut_down(context: Any) -> None:
+    async def act(run: Replacements) -> None:
+        await run.shut_down_executor(run.busiest)
+
+    scenario(context).background.append(act)
+
+
+@when(
+    "the executor of the host with most tasks shuts down without time to stop them, "
+    "just after the scheduler was killed"
+)
+def shut_down_after_kill(context: Any) -> None:
+    async def act(run: Replacements) -> None:
+        leader = run.world.leader()
+        assert leader is not None
+        await run.world.kill(leader)
+        await anyio.sleep(0.1)
+        await run.shut_down_executor(run.busiest)
+
+    scenario(context).background.append(act)
+
+
+@when("that host's agent is told to stop {delay_s:g} seconds later")
+def stop_agent(context: Any, delay_s: float) -> None:
+    async def act(run: Replacements) -> None:
+        # The first action shuts the executor down after 0.1 seconds.
+        await anyio.sleep(0.1 + delay_s)
+        await run.world.stop_agent(run.busiest)
+
+    scenario(context).background.append(act)
+
+
+@when("a late deregistration arrives at the agent of the host with most tasks")
+def late_deregistration(context: Any) -> None:
+    async def act(run: Replacements) -> None:
+        node = run.world.agents[run.busiest]
+        node.agent.on_executor_shutdown(node.model.name)
+
+    scenario(context).background.append(act)
+
+
+@when(
+    "all entries restart in turn, {gap_s:g} seconds apart, "
+    "each serving for {serving_s:g} more seconds"
+)
+def restart_in_turn(context: Any, gap_s: float, serving_s: float) -> None:
+    async def act(run: Replacements) -> None:
+        async with anyio.create_task_group() as group:
+            for name in list(run.world.entries):
+                group.start_soon(run.restart_entry, name, serving_s)
+                await anyio.sleep(gap_s)
+
+    scenario(context).background.append(act)
+
+
+@when("{count:d} hosts are replaced from second {first_s:g} on, {gap_s:g} seconds apart")
+def replace_hosts(context: Any, count: int, first_s: float, gap_s: float) -> None:
+    async def act(run: Replacements) -> None:
+        await anyio.sleep(first_s)
+        async with anyio.create_task_group() as group:
+            for number in range(count):
+                group.start_soon(run.replace_host, number)
+                await anyio.sleep(gap_s)
+
+    scenario(context).background.append(act)
+
+
+@then("no task of the replacements was down for longer than {limit_s:g} seconds")
+def none_down(context: Any, limit_s: float) -> None:
+    run = scenario(context)
+    run.run()
+    late = {task: s for task, s in run.longest_down_s.items() if s > limit_s + SAMPLE_S}
+    assert run.longest_down_s and not late, late
+
+
+@then("no task of the replacements ran twice at the same time")
+def none_twice(context: Any) -> None:
+    assert scenario(context).violations == [], scenario(context).violations
+
+
+@then("the replacements had a scheduler all the time, but for {limit_s:g} seconds")
+def had_scheduler(context: Any, limit_s: float) -> None:
+    scenario(context).run()
+    away_s = scenario(context).without_scheduler_s
+    assert away_s <= limit_s, away_s
+
+
+@then("the job of the replacements is completed within {limit_s:d} seconds")
+def job_completed(context: Any, limit_s: int) -> None:
+    async def act(run: Replacements) -> None:
+        run.final_state = await run.world.wait_for_end(run.job, limit_s)
+
+    scenario(context).background.append(act)
+    scenario(context).run()
+    assert scenario(context).final_state == "completed"
+
+
+@then("each later run of the replacements resumed from at least {least_s:d} seconds of work")
+def resumed(context: Any, least_s: int) -> None:
+    models = [node.model for node in scenario(context).world.agents.values()]
+    # The first runs resume from nothing.
+    found = sorted(done_s for model in models for done_s in model.resumed_s)[6:]
+    assert found and found[0] >= least_s, found
--- a/tests/support/executormodel.py
+++ b/tests/support/executormodel.py
@@ -61,6 +61,7 @@
         self.born_ms = 1
         self.history: list[tuple[TaskId, int, float, float]] = []
         self.overcommitted = False
+        self.is_shut_down = False
         self.resumed_s: list[float] = []
         self._reset()
 
@@ -82,6 +83,13 @@
         self.born_ms += 1
         self._reset()
 
+    def shut_down(self) -> None:
+        """End for good with all runs; no call is answered any more."""
+        for run in list(self.runs.values()):
+            self._record_run(run)
+        self.runs.clear()
+        self.is_shut_down = True
+
     def clock_ms(self) -> int:
         return round((boot_s() - self.started_at) * 1000)
 
@@ -182,6 +190,8 @@
 
     async def _wait_for_answer(self) -> None:
         await anyio.sleep(ANSWER_DELAY_S)
+        if self.model.is_shut_down:
+            raise ExecutorUnavailable("the connection was refused")
         if self.unresponsive:
             await anyio.sleep(0.5)
             raise ExecutorUnavailable("no answer")
--- a/tests/support/jobworld.py
+++ b/tests/support/jobworld.py
@@ -40,6 +40,8 @@
 PREFIX = "test/"
 LINK_DELAY_S = 0.001
 PORT = 1
+# Grace period of a process that is told to stop.
+STOP_GRACE_S = 4.5
 
 
 def run_virtual(main: Callable[[], Awaitable[Any]], seed: int = 0) -> Any:
@@ -138,6 +140,7 @@
     model: ExecutorModel
     scope: anyio.CancelScope
     sends_heartbeats: bool = True
+    drain_until: float = float("inf")
 
 
 class JobWorld:
@@ -162,7 +165,10 @@
 
     # Processes.
 
-    def add_entry(self, name: str, cores: float = 1.0) -> EntryNode:
+    def add_entry(
+        self, name: str, cores: float = 1.0, agents_link_after_s: float = 0.0
+    ) -> EntryNode:
+        """Start an entry; agents find it only after a while."""
         process = Process(Role.ENTRY, ProcessId(name), DataCentreId("z1"))
         store = MemoryStore(self.shared)
         job_service = JobService(store, PREFIX, utc=boot_s)
@@ -184,11 +190,19 @@
         node = EntryNode(process, store, job_service, jobs, anyio.CancelScope())
         self.entries[name] = node
         self.group.start_soon(self._run, node.scope, process)
-        for other in [*self.entries.values(), *self.agents.values()]:
+        for other in self.entries.values():
             if other is not node and not other.scope.cancel_called:
                 self.group.start_soon(self.connect, other.process, process)
+        for agent in self.agents.values():
+            if not agent.scope.cancel_called:
+                self.group.start_soon(self._connect_later, agent, node, agents_link_after_s)
         return node
 
+    async def _connect_later(self, agent: "AgentNode", entry: EntryNode, delay_s: float) -> None:
+        await anyio.sleep(delay_s)
+        if not agent.scope.cancel_called and not entry.scope.cancel_called:
+            await self.connect(agent.process, entry.process)
+
     def add_agent(self, name: str, capacity: Size, zone: str = "z1", rack: str = "r1") -> AgentNode:
         previous = self.agents.get(name)
         model = previous.model if previous else ExecutorModel(name, capacity, self.behaviour)
@@ -228,7 +242,9 @@
                     frozenset({rack}),
                     model.capacity,
                 )
-                node.agent.on_executor_heartbeat(ExecutorState(facts))
+                draining = node.drain_until < float("inf")
+                state = ExecutorState(facts, draining, node.drain_until)
+                node.agent.on_executor_heartbeat(state)
             model.process_due()
             await anyio.sleep(0.5)
 
@@ -238,6 +254,20 @@
         for link in [link for link in self.links if link.near is node.process]:
             await self.close(link)
 
+    async def stop_agent(self, name: str) -> None:
+        """Stop an agent gracefully, as its process does at SIGTERM."""
+        node = self.agents[name]
+        with anyio.move_on_after(STOP_GRACE_S):
+            await node.process.drain()
+        await self.kill(node)
+
+    async def stop_entry(self, name: str, serving_s: float) -> None:
+        """Stop an entry gracefully; it serves callers for `serving_s` after the signal."""
+        node = self.entries[name]
+        await node.process.drain()
+        await anyio.sleep(serving_s)
+        await self.kill(node)
+
     # Links.
 
     async def connect(self, near: Process, far: Process) -> None:
