--- a/packages/core/src/apricotpath/executor.py
+++ b/packages/core/src/apricotpath/executor.py
@@ -17,6 +17,10 @@
     """No answer arrived; the call may have been executed or may still be."""
 
 
+class ExecutorUnreachable(ExecutorUnavailable):
+    """The executor's address refuses connections; the call had no effect."""
+
+
 class ExecutorFenced(ExecutorError):
     """The executor has seen a higher fencing token; the call had no effect."""
 
--- a/packages/core/src/apricotpath/messages.py
+++ b/packages/core/src/apricotpath/messages.py
@@ -555,15 +555,15 @@
 class HostRuns(Message):
     """Report of all runs of a host and of the endings that are not acknowledged yet.
 
-    `renewal` numbers the reports of one attachment. In the `first` report
-    the lists are complete: no other run of an earlier token can still begin.
+    `renewal` numbers the reports of one attachment. The first one, and the last one of an
+    executor that has ended, are `complete`: no other run of an earlier token can still begin.
     `remaining_ms` is the minimum time that a draining executor stays available.
     `filler_percent` is the share of full speed that filler tasks recently got, in percent.
     """
 
     fence: FenceToken
     renewal: int
-    first: bool
+    complete: bool
     draining: bool
     remaining_ms: int
     filler_percent: float
--- a/packages/core/src/apricotpath/wire.capnp
+++ b/packages/core/src/apricotpath/wire.capnp
@@ -346,7 +346,7 @@
 struct HostRuns {
   fence @0 :Int64;
   renewal @1 :Int64;
-  first @2 :Bool;
+  complete @2 :Bool;
   draining @3 :Bool;
   remainingMs @4 :Int64;
   runs @5 :List(RunStatus);
--- a/packages/daemon/src/apricotpathd/attachment.py
+++ b/packages/daemon/src/apricotpathd/attachment.py
@@ -1,6 +1,7 @@
 """An agent's state of its executor, and of one attachment to a scheduler with its runs."""
 
 from dataclasses import dataclass, field
+from enum import Enum
 
 from apricotpath.ids import Epoch, FenceToken, TaskId
 from apricotpath.link import Link
@@ -16,6 +17,18 @@
     leaves_at: float = float("inf")
 
 
+class ExecutorPhase(Enum):
+    """What the agent knows about the existence of its executor.
+
+    A deregistered executor may still answer: it is about to end, or the notice is a delayed
+    one of its earlier incarnation. Nothing runs on an ended one.
+    """
+
+    REGISTERED = "registered"
+    DEREGISTERED = "deregistered"
+    ENDED = "ended"
+
+
 @dataclass(slots=True)
 class RunView:
     """The agent's own data on a run, beyond what the executor reports."""
@@ -32,7 +45,8 @@
 class Attachment:
     """One attachment to a scheduler, with its fencing token.
 
-    `acked_ending` is the number of the last ending that the scheduler has recorded.
+    `acked_ending` is the number of the last ending that the scheduler has recorded, and
+    `granted_renewal` that of the newest report for which it has granted a lease.
     """
 
     link: Link
@@ -42,6 +56,8 @@
     renewal: int = 0
     sent_at: dict[int, float] = field(default_factory=dict)
     granted_until: float = 0.0
+    granted_renewal: int = 0
+    final_renewal: int | None = None
     acked_ending: int = 0
     reported: bool = False
     renewal_failed: bool = False
--- a/packages/daemon/src/apricotpathd/entrylinks.py
+++ b/packages/daemon/src/apricotpathd/entrylinks.py
@@ -52,7 +52,7 @@
         """Dial the entries that the agent needs at present."""
         now = boot_s()
         # Without an executor no grants are expected.
-        if self._agent.state is None or self._agent.lease_grant_age_s() < GRANT_TIMEOUT_S:
+        if not self._agent.has_executor or self._agent.lease_grant_age_s() < GRANT_TIMEOUT_S:
             self._granted_at = now
         extra = int((now - self._granted_at) / WIDEN_INTERVAL_S)
         selected = {*self._preferred(SPARE_LINKS + extra), self._agent.leader}
--- a/packages/daemon/src/apricotpathd/hostagent.py
+++ b/packages/daemon/src/apricotpathd/hostagent.py
@@ -17,6 +17,7 @@
     ExecutorReplaced,
     ExecutorReport,
     ExecutorUnavailable,
+    ExecutorUnreachable,
     StartCall,
 )
 from apricotpath.fleet import FleetSettings
@@ -42,7 +43,7 @@
 from apricotpath.model import StartAnswer
 from apricotpath.pacing import Pacer, speed_limits
 from apricotpath.workload import HostFacts
-from apricotpathd.attachment import Attachment, ExecutorState, RunView
+from apricotpathd.attachment import Attachment, ExecutorPhase, ExecutorState, RunView
 
 log = logging.getLogger(__name__)
 
@@ -83,12 +84,15 @@
     ) -> None:
         self.host, self.cfg = host, cfg
         self.state: ExecutorState | None = None
+        self.phase = ExecutorPhase.REGISTERED
         self.epoch = Epoch(0)
         self.leader: ProcessId | None = None
         self.attachment: Attachment | None = None
         self.executor: Executor | None = None
         self._connect = connect
         self._clock_ms, self._clock_at = 0, 0.0
+        # Endings in the executor's newest report; they outlive it and each attachment.
+        self._endings: tuple[RunEnding, ...] = ()
         self._links: list[Link] = []
         self.changed = anyio.Event()
         self._group: TaskGroup | None = None
@@ -108,18 +112,36 @@
         ):
             log.info("executor connected", extra={"instance": state.facts.instance})
             self.executor = self._connect(state.facts)
+            self._endings = ()
+            self.phase = ExecutorPhase.REGISTERED
             self._detach("the executor has restarted")
+        elif self.phase is ExecutorPhase.DEREGISTERED:
+            log.info("executor registered again", extra={"instance": state.facts.instance})
+            self.phase = ExecutorPhase.REGISTERED
         if previous is None or state.draining != previous.draining:
             log.info("executor state", extra={"draining": state.draining})
         self._signal()
 
     def on_executor_shutdown(self, instance: str) -> None:
-        """Handle the executor's notice that it shuts down."""
-        if self.state is not None and self.state.facts.instance == instance:
+        """Handle the executor's notice that it shuts down; it ends once it stops answering."""
+        if self.state is None or self.state.facts.instance != instance:
+            return
+        if self.phase is ExecutorPhase.REGISTERED:
             log.info("executor shut down", extra={"instance": instance})
-            self.state = None
-            self.executor = None
-            self._detach("the executor shut down")
+            self.phase = ExecutorPhase.DEREGISTERED
+            self._signal()
+
+    @property
+    def has_executor(self) -> bool:
+        """Whether there is an executor that may run tasks."""
+        return self.state is not None and self.phase is not ExecutorPhase.ENDED
+
+    @property
+    def _draining(self) -> bool:
+        """Whether the executor takes no new runs."""
+        return (
+            self.state is None or self.state.draining or self.phase is not ExecutorPhase.REGISTERED
+        )
 
     def _detach(self, reason: str) -> None:
         if self.attachment is not None:
@@ -190,9 +212,13 @@
     async def _renew_once(self) -> None:
         attached, executor = self.attachment, self.executor
         if attached is None or executor is None:
+            await self.changed.wait()
+            return
+        if self.phase is ExecutorPhase.ENDED:
             changed = self.changed
-            if self.attachment is None or self.executor is None:
-                await changed.wait()
+            if attached.final_renewal is None:
+                self._report_end(attached)
+            await changed.wait()
             return
         sent = boot_s()
         wait_s = self._renewal_wait_s(attached)
@@ -208,6 +234,10 @@
             await anyio.sleep(RENEWAL_RETRY_S)
         except ExecutorError as exc:
             log.info("lease renewal failed: %s", exc)
+            if self.phase is ExecutorPhase.DEREGISTERED and isinstance(exc, ExecutorUnreachable):
+                log.info("executor ended", extra={"instance": attached.facts.instance})
+                self.phase = ExecutorPhase.ENDED
+                return
             attached.renewal_failed = True
             await anyio.sleep(RENEWAL_RETRY_S)
         else:
@@ -226,6 +256,11 @@
         if attached is self.attachment:
             self._detach(reason)
 
+    def _report_end(self, attached: Attachment) -> None:
+        """Report that nothing runs any more, with the endings that are not acknowledged yet."""
+        self._report(attached, (), self._endings, complete=True)
+        attached.final_renewal = attached.renewal
+
     async def _handle_report(
         self, attached: Attachment, executor_report: ExecutorReport, sent: float
     ) -> None:
@@ -242,6 +277,7 @@
         reported_runs = attached.reported_runs = {
             (status.task, status.run) for status in executor_report.runs
         }
+        self._endings = executor_report.endings
         for ending in executor_report.endings:
             attached.views.pop((ending.task, ending.run), None)
         self._report(attached, executor_report.runs, executor_report.endings)
@@ -260,18 +296,19 @@
         attached: Attachment,
         runs: tuple[RunStatus, ...],
         endings: tuple[RunEnding, ...],
+        complete: bool = False,
     ) -> None:
-        state = self.state
-        draining = state is not None and state.draining
+        """Send a report; all runs that are missing in a complete one have ended."""
+        state, draining = self.state, self._draining
         left_s = max(0.0, state.leaves_at - boot_s()) if state and draining else 0.0
         attached.renewal += 1
         attached.sent_at[attached.renewal] = boot_s()
         attached.sent_at.pop(attached.renewal - MAX_RENEWALS, None)
-        first = not attached.reported
+        complete = complete or not attached.reported
         report = HostRuns(
             attached.fence,
             attached.renewal,
-            first,
+            complete,
             draining,
             int(min(left_s, 3600.0) * 1000),
             self.pacer.average_percent,
@@ -398,8 +435,7 @@
         sent = False
         while attached is self.attachment and self.executor is not None:
             deadline = self._deadline(attached)
-            draining = self.state is None or self.state.draining
-            if deadline is None or draining or boot_s() > valid_until:
+            if deadline is None or self._draining or boot_s() > valid_until:
                 if not sent:
                     return StartAnswer.REFUSED
                 return await self._withdraw(attached, order.task, order.run)
@@ -456,6 +492,8 @@
             if sent is not None:
                 until = sent + self.cfg.run_lease_s
                 attached.granted_until = max(attached.granted_until, until)
+                attached.granted_renewal = max(attached.granted_renewal, body.renewal)
+                self._signal_if_end_reported(attached)
             attached.acked_ending = max(attached.acked_ending, body.noted)
         elif isinstance(body, StartRuns) and body.fence == attached.fence:
             sent = attached.sent_at.get(body.renewal, float("-inf"))
@@ -511,4 +549,20 @@
             self._detach("the link to the scheduler closed")
 
     async def drain(self) -> None:
-        """Return at once; the next process of this agent continues the runs."""
+        """Wait until a scheduler knows that a draining executor has ended.
+
+        Returns at once if the executor stays: the next process of this agent continues the runs.
+        """
+        while self.state is not None and self._draining and not self._end_reported():
+            await self.changed.wait()
+
+    def _end_reported(self) -> bool:
+        """Tell whether the scheduler has answered the final report on an ended executor."""
+        attached = self.attachment
+        if attached is None or attached.final_renewal is None:
+            return False
+        return attached.granted_renewal >= attached.final_renewal
+
+    def _signal_if_end_reported(self, attached: Attachment) -> None:
+        if attached is self.attachment and self._end_reported():
+            self._signal()
--- a/packages/daemon/src/apricotpathd/hosttracker.py
+++ b/packages/daemon/src/apricotpathd/hosttracker.py
@@ -148,7 +148,7 @@
                 self._last_queued_endings[host.host] = ending.number
                 self.endings.append(ReportedEnding(host.host, host.executor_incarnation(), ending))
                 self._wake()
-        if message.first:
+        if message.complete:
             host.reported = True
             self._send_traits(host, link)
             self._wake()
@@ -188,7 +188,7 @@
             run.percent, run.saved, run.load = status.percent, status.saved, status.load
             run.pace = status.pace
             self._update_host_speed(host, run, now)
-        if message.first:
+        if message.complete:
             ended = {(ending.task, ending.run) for ending in message.endings}
             for (key, number), run in expected.items():
                 if (key, number) not in reported_runs and (str(key), number) not in ended:
--- a/tests/features/replacements.feature
+++ b/tests/features/replacements.feature
@@ -48,6 +48,15 @@
     Then no task of the replacements was down for longer than 0 seconds
     And no task of the replacements ran twice at the same time
 
+  # Silence is no proof that an executor has ended, also after a deregistration.
+  Scenario: replacements keep the runs of an executor that is silent for a while after a deregistration
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When a late deregistration arrives at the agent of the host with most tasks
+    And that host's executor answers nothing for 3 seconds
+    Then no task of the replacements was down for longer than 0 seconds
+    And no task of the replacements ran twice at the same time
+
   # While all entries were shutting down none of them scheduled, although they served on for seconds.
   Scenario: replacements keep a scheduler while all entries restart in turn
     Given a world of replacements with 3 entries and 4 hosts
--- a/tests/features/steps/entrylinks_steps.py
+++ b/tests/features/steps/entrylinks_steps.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.leader: ProcessId | None = None
         self.granted_at = float("-inf")
-        self.state: object | None = "an executor"
+        self.has_executor = True
 
     def lease_grant_age_s(self) -> float:
         return boot_s() - self.granted_at
@@ -65,7 +65,7 @@
 @given("an agent of entrylinks that knows 10 entries and has no executor")
 def create_case_without_executor(context: Any) -> None:
     create_case(context)
-    context.case.agent.state = None
+    context.case.agent.has_executor = False
 
 
 @when("the scheduler of entrylinks grants")
--- a/tests/features/steps/replacements_steps.py
+++ b/tests/features/steps/replacements_steps.py
@@ -205,6 +205,20 @@
     scenario(context).background.append(act)
 
 
+@when("that host's executor answers nothing for {silent_s:d} seconds")
+def silence_executor(context: Any, silent_s: int) -> None:
+    async def act(run: Replacements) -> None:
+        node = run.world.agents[run.busiest]
+        node.sends_heartbeats = False
+        executor: Any = node.agent.executor
+        executor.unresponsive = True
+        await anyio.sleep(silent_s)
+        executor.unresponsive = False
+        node.sends_heartbeats = True
+
+    scenario(context).background.append(act)
+
+
 @when(
     "all entries restart in turn, {gap_s:g} seconds apart, "
     "each serving for {serving_s:g} more seconds"
--- a/tests/support/executormodel.py
+++ b/tests/support/executormodel.py
@@ -11,6 +11,7 @@
     ExecutorReplaced,
     ExecutorReport,
     ExecutorUnavailable,
+    ExecutorUnreachable,
     StartCall,
 )
 from apricotpath.ids import FenceToken, TaskId
@@ -191,7 +192,7 @@
     async def _wait_for_answer(self) -> None:
         await anyio.sleep(ANSWER_DELAY_S)
         if self.model.is_shut_down:
-            raise ExecutorUnavailable("the connection was refused")
+            raise ExecutorUnreachable("the connection was refused")
         if self.unresponsive:
             await anyio.sleep(0.5)
             raise ExecutorUnavailable("no answer")
