--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -1,6 +1,5 @@
 """Leader election among entries, through the store; the leader schedules jobs."""
 
-import json
 import logging
 import random
 from collections.abc import Awaitable, Callable
@@ -10,11 +9,11 @@
 
 from apricotpath.boottime import boot_s
 from apricotpath.config import Address
+from apricotpath.entryrecords import EntryRecord, LeaderRecord
 from apricotpath.errors import StoreError, StoreLeaseEnded, StoreOutcomeUnknown
 from apricotpath.ids import Epoch, IncarnationId, ProcessId
-from apricotpath.jsontext import json_bytes
 from apricotpath.mirror import Mirror, WatchableStore
-from apricotpath.store import Compare, Delete, LeaseId, Put, new_token
+from apricotpath.store import Compare, Delete, LeaseId, Put
 
 log = logging.getLogger(__name__)
 
@@ -52,15 +51,6 @@
     succeeds_itself: bool
 
 
-@dataclass(frozen=True, slots=True)
-class LeaderRecord:
-    """The leader as stored under the leader key and the epoch key."""
-
-    epoch: Epoch
-    entry: ProcessId
-    incarnation: IncarnationId
-
-
 class Election:
     """Keeps this entry registered and acquires the leadership when it is vacant.
 
@@ -106,9 +96,9 @@
         for key, item in self.mirror.items.items():
             if key.startswith(self._entry_prefix) and key != self.presence_key:
                 name = ProcessId(key.removeprefix(self._entry_prefix))
-                address = entry_address(item.value)
-                if address is not None:
-                    found[name] = address
+                record = EntryRecord.parse(item.value)
+                if record is not None:
+                    found[name] = record.address
         return found
 
     async def run(self) -> None:
@@ -138,7 +128,7 @@
 
     def _on_key_change(self, key: str, value: bytes | None, revision: int) -> None:
         if key == self._leader_key:
-            record = _leader_record(value)
+            record = LeaderRecord.parse(value)
             if record is not None and (self.leader is None or record.epoch >= self.leader.epoch):
                 self.leader = record
                 log.info("leader seen", extra={"entry": record.entry, "epoch": record.epoch})
@@ -175,14 +165,8 @@
         return self.presence_key not in self.mirror.items
 
     async def _register(self, lease: LeaseId) -> None:
-        value = {
-            "token": new_token(),
-            "incarnation": self._incarnation,
-            "host": self._address.host,
-            "port": self._address.port,
-            "cores": self.cfg.cores,
-        }
-        await self.store.txn([], [Put(self.presence_key, json_bytes(value), lease)])
+        record = EntryRecord(self._address, self.cfg.cores, self._incarnation)
+        await self.store.txn([], [Put(self.presence_key, record.encode(), lease)])
 
     async def _campaign(self) -> None:
         """Acquire the leadership whenever it is vacant, and serve each term."""
@@ -213,14 +197,15 @@
 
     def _has_peer_with_more_cores(self) -> bool:
         return any(
-            entry_cores(item.value) > self.cfg.cores
+            record.cores > self.cfg.cores
             for key, item in self.mirror.items.items()
             if key.startswith(self._entry_prefix) and key != self.presence_key
+            if (record := EntryRecord.parse(item.value)) is not None
         )
 
     def _is_vacant(self) -> bool:
         item = self.mirror.items.get(self._leader_key)
-        record = _leader_record(item.value if item else None)
+        record = LeaderRecord.parse(item.value if item else None)
         # A record that names this entry while it has no term was written by an earlier
         # incarnation, or by an attempt whose answer was lost.
         return record is None or (record.entry == self._entry and self.term is None)
@@ -232,7 +217,7 @@
         """
         leader = self.mirror.items.get(self._leader_key)
         epoch_item = self.mirror.items.get(self._epoch_key)
-        previous = _leader_record(epoch_item.value if epoch_item else None)
+        previous = LeaderRecord.parse(epoch_item.value if epoch_item else None)
         epoch = Epoch(previous.epoch + 1 if previous else 1)
         compares = [
             Compare(self._leader_key, leader.mod_revision if leader else 0),
@@ -262,8 +247,7 @@
 
     def _new_leader_record(self, epoch: Epoch) -> bytes:
         """Return this entry's leader record for an epoch, with a unique token."""
-        record = {"epoch": epoch, "entry": self._entry, "incarnation": self._incarnation}
-        return json_bytes(record | {"token": new_token()})
+        return LeaderRecord(epoch, self._entry, self._incarnation).encode()
 
     async def _read_back(self, put: Put) -> int:
         """Return the mod revision of a write whose answer was lost, or 0 if it is not found."""
@@ -304,37 +288,3 @@
                 self._lease = None
             except StoreError as exc:
                 log.info("leader key not restored: %s", exc)
-
-
-def entry_address(value: bytes) -> Address | None:
-    """Return the address in an entry's registration, or None if the value is malformed."""
-    try:
-        content = json.loads(value)
-        return Address(str(content["host"]), int(content["port"]))
-    except (ValueError, KeyError, TypeError):
-        log.warning("entry registration is malformed")
-        return None
-
-
-def entry_cores(value: bytes) -> float:
-    """Return the number of processors in an entry's registration; 0 if it has none."""
-    try:
-        return float(json.loads(value).get("cores", 0.0))
-    except (ValueError, AttributeError, TypeError):
-        log.warning("entry registration is malformed")
-        return 0.0
-
-
-def _leader_record(value: bytes | None) -> LeaderRecord | None:
-    if value is None:
-        return None
-    try:
-        content = json.loads(value)
-        return LeaderRecord(
-            Epoch(int(content["epoch"])),
-            ProcessId(content["entry"]),
-            IncarnationId(content["incarnation"]),
-        )
-    except (ValueError, KeyError, TypeError):
-        log.warning("leader record is malformed")
-        return None
