--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -2,7 +2,7 @@
 
 import logging
 import random
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterator
 from dataclasses import dataclass
 
 import anyio
@@ -22,6 +22,8 @@
 DEFER_S = 0.5
 # Spreads the attempts of entries that see the vacancy at the same time.
 JITTER_S = 0.05
+# Time limit of each write of an entry that shuts down.
+DRAIN_WRITE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,23 +42,23 @@
     """One period in which an entry is the leader.
 
     `epoch_revision` is the mod revision of the epoch key; a write that compares
-    it fails once a later term has begun. `succeeds_itself` means that the
-    previous leader was an earlier incarnation of the same process, which no
-    longer runs, or that there was none.
+    it fails once a later term has begun. `predecessor_ended` means that the
+    previous leader certainly does nothing any more in its term, or that there
+    was none.
     """
 
     epoch: Epoch
     epoch_key: str
     epoch_revision: int
-    succeeds_itself: bool
+    predecessor_ended: bool
 
 
 class Election:
     """Keeps this entry registered and acquires the leadership when it is vacant.
 
     `serve_term(term)` runs while this entry is the leader. It must return once
-    the term is over, and is cancelled when the entry resigns or sees a later
-    epoch. `leader` is the newest leader that was seen.
+    the term is over, and is cancelled when the entry resigns, hands over or sees a
+    later epoch. `leader` is the newest leader that was seen.
     """
 
     def __init__(
@@ -73,13 +75,16 @@
         self.leader: LeaderRecord | None = None
         self.term: Term | None = None
         self.last_store_contact_at = float("-inf")
-        self.leaving = False
+        self.draining = False
         self._entry, self._incarnation, self._address = entry, incarnation, address
         self._serve_term = serve_term
         self._lease: LeaseId | None = None
         self._changed = anyio.Event()
         self._vacant_since = float("inf")
         self._term_scope: anyio.CancelScope | None = None
+        self._resigned = False
+        self._released = anyio.Event()
+        self._released.set()
         root = f"{cfg.prefix}ctl/"
         self._leader_key, self._epoch_key = f"{root}leader", f"{root}epoch"
         self._entry_prefix = f"{root}entry/"
@@ -92,14 +97,7 @@
 
     def peers(self) -> dict[ProcessId, Address]:
         """Return the addresses of the other registered entries."""
-        found = {}
-        for key, item in self.mirror.items.items():
-            if key.startswith(self._entry_prefix) and key != self.presence_key:
-                name = ProcessId(key.removeprefix(self._entry_prefix))
-                record = EntryRecord.parse(item.value)
-                if record is not None:
-                    found[name] = record.address
-        return found
+        return {name: record.address for name, record in self._peer_records()}
 
     async def run(self) -> None:
         """Take part in elections until cancelled."""
@@ -108,18 +106,35 @@
             group.start_soon(self._keep_lease)
             group.start_soon(self._campaign)
 
+    async def drain(self) -> None:
+        """Let other entries lead from now on; this entry leads only while none of them can."""
+        self.draining = True
+        try:
+            with anyio.move_on_after(DRAIN_WRITE_S):
+                if self._lease is not None:
+                    await self._register(self._lease)
+        except StoreError as exc:
+            log.info("draining not stored: %s", exc)
+        self._hand_over_if_possible()
+
     async def resign(self) -> None:
         """End the term and delete this entry's keys, so that another entry can lead at once."""
-        self.leaving = True
+        self.draining = self._resigned = True
         if self._term_scope is not None:
             self._term_scope.cancel()
-        keys = [self.presence_key] + ([self._leader_key] if self.term else [])
         try:
-            with anyio.move_on_after(1.0):
-                await self.store.txn([], [Delete(key) for key in keys])
+            with anyio.move_on_after(DRAIN_WRITE_S):
+                await self._released.wait()
+                await self.store.txn([], [Delete(self.presence_key)])
         except StoreError as exc:
             log.info("resignation not stored: %s", exc)
 
+    def _hand_over_if_possible(self) -> None:
+        """End this entry's term if it is draining and another entry can lead."""
+        if self.draining and self._term_scope is not None and self._has_peer_that_stays():
+            log.info("leadership handed over")
+            self._term_scope.cancel()
+
     def step_down_for(self, epoch: Epoch) -> None:
         """End this entry's term if `epoch` is later than its own."""
         if self.term is not None and epoch > self.term.epoch and self._term_scope is not None:
@@ -134,12 +149,13 @@
                 log.info("leader seen", extra={"entry": record.entry, "epoch": record.epoch})
                 if record.incarnation != self._incarnation:
                     self.step_down_for(record.epoch)
+        self._hand_over_if_possible()
         self._changed.set()
         self._changed = anyio.Event()
 
     async def _keep_lease(self) -> None:
         """Keep a store lease alive and this entry registered under it."""
-        while not self.leaving:
+        while not self._resigned:
             started = boot_s()
             try:
                 with anyio.move_on_after(self.cfg.lease_s / 2) as scope:
@@ -165,7 +181,7 @@
         return self.presence_key not in self.mirror.items
 
     async def _register(self, lease: LeaseId) -> None:
-        record = EntryRecord(self._address, self.cfg.cores, self._incarnation)
+        record = EntryRecord(self._address, self.cfg.cores, self._incarnation, self.draining)
         await self.store.txn([], [Put(self.presence_key, record.encode(), lease)])
 
     async def _campaign(self) -> None:
@@ -173,12 +189,16 @@
         await self.mirror.loaded.wait()
         while True:
             changed = self._changed
-            if self.term is None and not self.leaving and self._may_campaign():
+            if self.term is None and self._may_campaign():
                 await anyio.sleep(random.uniform(0, JITTER_S))
                 if self._is_vacant() and self._lease is not None:
                     term = await self._acquire(self._lease)
                     if term is not None:
+                        self._released = anyio.Event()
                         await self._serve(term)
+                        if self.draining:
+                            await self._release(term)
+                        self._released.set()
                         continue
             with anyio.move_on_after(RETRY_S if self._is_vacant() else 1.0):
                 await changed.wait()
@@ -186,21 +206,33 @@
     def _may_campaign(self) -> bool:
         """Tell whether this entry may try to acquire the leadership now.
 
-        It must be vacant, and vacant for DEFER_S if a peer has more processors.
+        It must be vacant, and vacant for DEFER_S if a peer has more processors. An entry that
+        is draining leaves it to any entry that is not.
         """
         now = boot_s()
+        if self._resigned or (self.draining and self._has_peer_that_stays()):
+            return False
         if not self._is_vacant():
             self._vacant_since = float("inf")
             return False
         self._vacant_since = min(self._vacant_since, now)
         return now - self._vacant_since >= DEFER_S or not self._has_peer_with_more_cores()
 
+    def _peer_records(self) -> Iterator[tuple[ProcessId, EntryRecord]]:
+        """Yield the names and records of the other registered entries."""
+        for key, item in self.mirror.items.items():
+            if key.startswith(self._entry_prefix) and key != self.presence_key:
+                record = EntryRecord.parse(item.value)
+                if record is not None:
+                    yield ProcessId(key.removeprefix(self._entry_prefix)), record
+
+    def _has_peer_that_stays(self) -> bool:
+        return any(not record.draining for _, record in self._peer_records())
+
     def _has_peer_with_more_cores(self) -> bool:
         return any(
-            record.cores > self.cfg.cores
-            for key, item in self.mirror.items.items()
-            if key.startswith(self._entry_prefix) and key != self.presence_key
-            if (record := EntryRecord.parse(item.value)) is not None
+            record.cores > self.cfg.cores and not record.draining
+            for _, record in self._peer_records()
         )
 
     def _is_vacant(self) -> bool:
@@ -240,10 +272,14 @@
             return None
         if not revision:
             return None
-        same_process = previous is None or previous.entry == self._entry
-        log.info("scheduler elected", extra={"epoch": epoch, "succeeds_itself": same_process})
+        ended = previous is None or self._has_ended(previous)
+        log.info("scheduler elected", extra={"epoch": epoch, "predecessor_ended": ended})
         self.leader = LeaderRecord(epoch, self._entry, self._incarnation)
-        return Term(epoch, self._epoch_key, revision, same_process)
+        return Term(epoch, self._epoch_key, revision, ended)
+
+    def _has_ended(self, leader: LeaderRecord) -> bool:
+        """Tell whether a former leader certainly does nothing any more in its term."""
+        return leader.ended or leader.entry == self._entry
 
     def _new_leader_record(self, epoch: Epoch) -> bytes:
         """Return this entry's leader record for an epoch, with a unique token."""
@@ -271,6 +307,17 @@
             self._term_scope = None
             log.info("scheduler term ended", extra={"epoch": term.epoch})
 
+    async def _release(self, term: Term) -> None:
+        """Delete the leader key, and record that nothing happens in the term any more."""
+        compares = [Compare(self._epoch_key, term.epoch_revision)]
+        record = LeaderRecord(term.epoch, self._entry, self._incarnation, ended=True)
+        release = (Delete(self._leader_key), Put(self._epoch_key, record.encode()))
+        try:
+            with anyio.move_on_after(DRAIN_WRITE_S):
+                await self.store.txn(compares, release)
+        except StoreError as exc:
+            log.info("end of the term not stored: %s", exc, extra={"epoch": term.epoch})
+
     async def _restore_leader_key(self, term: Term) -> None:
         """Rewrite the leader key if it disappears while no later term has begun."""
         while True:
--- a/packages/core/src/apricotpath/entryrecords.py
+++ b/packages/core/src/apricotpath/entryrecords.py
@@ -17,12 +17,14 @@
 class EntryRecord:
     """Registration of an entry, by which agents and other entries find it.
 
-    `cores` is the number of its processors.
+    `cores` is the number of its processors. A `draining` entry shuts down, and leads only
+    while no other entry can.
     """
 
     address: Address
     cores: float
     incarnation: IncarnationId
+    draining: bool = False
 
     @classmethod
     def parse(cls, value: bytes) -> Self | None:
@@ -33,6 +35,7 @@
                 Address(str(content["host"]), int(content["port"])),
                 float(content.get("cores", 0.0)),
                 IncarnationId(content.get("incarnation", "")),
+                content.get("draining") is True,
             )
         except (ValueError, KeyError, TypeError, AttributeError):
             log.warning("entry registration is malformed")
@@ -47,17 +50,22 @@
                 "host": self.address.host,
                 "port": self.address.port,
                 "cores": self.cores,
+                "draining": self.draining,
             }
         )
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """The leader as stored under the leader key and the epoch key."""
+    """The leader as stored under the leader key and the epoch key.
+
+    Once its term has `ended`, it does nothing in that term any more.
+    """
 
     epoch: Epoch
     entry: ProcessId
     incarnation: IncarnationId
+    ended: bool = False
 
     @classmethod
     def parse(cls, value: bytes | None) -> Self | None:
@@ -70,6 +78,7 @@
                 Epoch(int(content["epoch"])),
                 ProcessId(content["entry"]),
                 IncarnationId(content["incarnation"]),
+                content.get("ended") is True,
             )
         except (ValueError, KeyError, TypeError):
             log.warning("leader record is malformed")
@@ -82,6 +91,7 @@
                 "epoch": self.epoch,
                 "entry": self.entry,
                 "incarnation": self.incarnation,
+                "ended": self.ended,
                 "token": new_token(),
             }
         )
--- a/packages/daemon/src/apricotpathd/entrylinks.py
+++ b/packages/daemon/src/apricotpathd/entrylinks.py
@@ -5,7 +5,7 @@
 import anyio
 
 from apricotpath.boottime import boot_s
-from apricotpath.config import Address
+from apricotpath.entryrecords import EntryRecord
 from apricotpath.ids import EntryId, HostId, ProcessId
 from apricotpath.quota import rendezvous
 from apricotpathd.dialler import Dialler
@@ -30,11 +30,11 @@
     """
 
     def __init__(self, host: HostId, agent: HostAgent, dialler: Dialler) -> None:
-        self.registered: dict[ProcessId, Address] = {}
+        self.registered: dict[ProcessId, EntryRecord] = {}
         self._host, self._agent, self._dialler = host, agent, dialler
         self._granted_at = boot_s()
 
-    def set_entries(self, entries: Mapping[ProcessId, Address]) -> None:
+    def set_entries(self, entries: Mapping[ProcessId, EntryRecord]) -> None:
         """Set the registered entries; an empty mapping leaves them unchanged."""
         if entries:
             self.registered = dict(entries)
@@ -57,10 +57,14 @@
         extra = int((now - self._granted_at) / WIDEN_INTERVAL_S)
         selected = {*self._preferred(SPARE_LINKS + extra), self._agent.leader}
         self._dialler.set_targets(
-            {name: address for name, address in self.registered.items() if name in selected}
+            {name: record.address for name, record in self.registered.items() if name in selected}
         )
 
     def _preferred(self, count: int) -> list[ProcessId]:
-        """Return this host's preferred entries other than the scheduler's, by rendezvous hash."""
+        """Return this host's preferred entries other than the scheduler's.
+
+        They are ordered by rendezvous hash; those that are draining come last.
+        """
         others = [EntryId(name) for name in self.registered if name != self._agent.leader]
-        return [ProcessId(name) for name in rendezvous(self._host, others)[:count]]
+        names = [ProcessId(name) for name in rendezvous(self._host, others)]
+        return sorted(names, key=lambda name: self.registered[name].draining)[:count]
--- a/packages/daemon/src/apricotpathd/jobentry.py
+++ b/packages/daemon/src/apricotpathd/jobentry.py
@@ -207,5 +207,9 @@
             self.scheduler.host_tracker.link_closed(link)
 
     async def drain(self) -> None:
-        """Resign, so that another entry can be elected."""
+        """Let another entry schedule; this one schedules on while there is no other."""
+        await self.election.drain()
+
+    async def resign(self) -> None:
+        """Stop scheduling for good, just before the process ends."""
         await self.election.resign()
--- a/packages/daemon/src/apricotpathd/scheduler.py
+++ b/packages/daemon/src/apricotpathd/scheduler.py
@@ -155,7 +155,7 @@
     def _restore_hosts(self) -> None:
         """Add hosts with assigned runs, whose leases an earlier scheduler may have renewed."""
         hold = self.cfg.run_hold_s
-        if not self.term.succeeds_itself:
+        if not self.term.predecessor_ended:
             hold += self.cfg.authority_s
         for name, runs in self.table.by_host.items():
             if runs:
--- a/tests/features/entrylinks.feature
+++ b/tests/features/entrylinks.feature
@@ -44,3 +44,10 @@
   Scenario: entrylinks spreads the dials of agents that have lost the scheduler
     When 300 agents of entrylinks lose the scheduler among 10 entries for 1 second
     Then no entry of entrylinks but the scheduler's has more than 120 links
+
+  # Agents that were linked to entries shutting down only heard late of the next scheduler.
+  Scenario: entrylinks dials entries that are draining last
+    Given an agent of entrylinks that knows 10 entries
+    When 8 of the entries that entrylinks knows are draining
+    And entrylinks runs 1 seconds later
+    Then entrylinks dials 2 entries, none of them draining
--- a/tests/features/replacements.feature
+++ b/tests/features/replacements.feature
@@ -64,6 +64,14 @@
     When all entries restart in turn, 2 seconds apart, each serving for 4.5 more seconds
     Then the replacements had a scheduler all the time, but for 0.5 seconds
 
+  # A successor waited as if its predecessor might still grant leases, although that had resigned.
+  Scenario: replacements run the tasks of a lost host again after its lease when the scheduler restarts
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the host with most tasks is lost while the scheduler restarts gracefully
+    Then no task of the replacements was down for longer than 7 seconds
+    And no task of the replacements ran twice at the same time
+
   # Incident inc1: tasks were down for over 13 seconds.
   Scenario: replacements run tasks again soon while executors are replaced and entries restart in turn
     Given a world of replacements with 3 entries and 8 hosts
--- a/tests/features/steps/entrylinks_steps.py
+++ b/tests/features/steps/entrylinks_steps.py
@@ -1,16 +1,19 @@
 """Steps for entrylinks.feature."""
 
 from collections import Counter
+from dataclasses import replace
 from typing import Any
 
 from behave import given, then, when
 
 from apricotpath.boottime import boot_s, set_clock
 from apricotpath.config import Address
-from apricotpath.ids import HostId, ProcessId
+from apricotpath.entryrecords import EntryRecord
+from apricotpath.ids import HostId, IncarnationId, ProcessId
 from apricotpathd.entrylinks import EntryLinks
 
-ENTRIES = {ProcessId(f"entry{number}"): Address(f"entry{number}", 1) for number in range(10)}
+NAMES = [ProcessId(f"entry{number}") for number in range(10)]
+ENTRIES = {name: EntryRecord(Address(name, 1), 1.0, IncarnationId("")) for name in NAMES}
 
 
 class StubAgent:
@@ -119,3 +122,17 @@
 def check_spread(context: Any, most: int) -> None:
     counts = {name: count for name, count in context.counts.items() if name != "entry3"}
     assert max(counts.values()) <= most, counts
+
+
+@when("{count:d} of the entries that entrylinks knows are draining")
+def drain_entries(context: Any, count: int) -> None:
+    case: LinksCase = context.case
+    draining = {name: replace(ENTRIES[name], draining=True) for name in NAMES[:count]}
+    case.links.set_entries(ENTRIES | draining)
+
+
+@then("entrylinks dials {count:d} entries, none of them draining")
+def check_dialled_not_draining(context: Any, count: int) -> None:
+    check_dialled_count(context, count)
+    registered = context.case.links.registered
+    assert not any(registered[name].draining for name in context.case.dialler.dialled)
--- a/tests/features/steps/replacements_steps.py
+++ b/tests/features/steps/replacements_steps.py
@@ -205,6 +205,26 @@
     scenario(context).background.append(act)
 
 
+@when("the host with most tasks is lost while the scheduler {event}")
+def lose_host(context: Any, event: str) -> None:
+    async def act(run: Replacements) -> None:
+        leader = run.world.leader()
+        assert leader is not None
+        name = leader.process.hello.process_id
+        node = run.world.agents[run.busiest]
+        node.model.shut_down()
+        await run.world.kill(node)
+        if event == "restarts gracefully":
+            await run.restart_entry(name, 2.0)
+            return
+        await run.world.kill(leader)
+        if event == "is killed and starts again in time":
+            await anyio.sleep(RESTART_DELAY_S)
+            run.world.add_entry(name)
+
+    scenario(context).background.append(act)
+
+
 @when("that host's executor answers nothing for {silent_s:d} seconds")
 def silence_executor(context: Any, silent_s: int) -> None:
     async def act(run: Replacements) -> None:
--- a/tests/support/jobworld.py
+++ b/tests/support/jobworld.py
@@ -266,6 +266,7 @@
         node = self.entries[name]
         await node.process.drain()
         await anyio.sleep(serving_s)
+        await node.jobs.resign()
         await self.kill(node)
 
     # Links.
