--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -3,7 +3,7 @@
 import logging
 import random
 from collections.abc import Awaitable, Callable, Iterator
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 import anyio
 
@@ -42,15 +42,16 @@
     """One period in which an entry is the leader.
 
     `epoch_revision` is the mod revision of the epoch key; a write that compares
-    it fails once a later term has begun. `predecessor_ended` means that the
-    previous leader certainly does nothing any more in its term, or that there
-    was none.
+    it fails once a later term has begun. `predecessor` is the leader of the
+    previous term, if any; `predecessor_ended` is set once that leader certainly
+    does nothing any more in its term.
     """
 
     epoch: Epoch
     epoch_key: str
     epoch_revision: int
-    predecessor_ended: bool
+    predecessor: LeaderRecord | None = None
+    predecessor_ended: anyio.Event = field(default_factory=anyio.Event)
 
 
 class Election:
@@ -150,6 +151,7 @@
                 if record.incarnation != self._incarnation:
                     self.step_down_for(record.epoch)
         self._hand_over_if_possible()
+        self._check_predecessor()
         self._changed.set()
         self._changed = anyio.Event()
 
@@ -272,14 +274,32 @@
             return None
         if not revision:
             return None
-        ended = previous is None or self._has_ended(previous)
-        log.info("scheduler elected", extra={"epoch": epoch, "predecessor_ended": ended})
         self.leader = LeaderRecord(epoch, self._entry, self._incarnation)
-        return Term(epoch, self._epoch_key, revision, ended)
+        term = Term(epoch, self._epoch_key, revision, previous)
+        if previous is None or self._has_ended(previous):
+            term.predecessor_ended.set()
+        ended = term.predecessor_ended.is_set()
+        log.info("scheduler elected", extra={"epoch": epoch, "predecessor_ended": ended})
+        return term
 
     def _has_ended(self, leader: LeaderRecord) -> bool:
         """Tell whether a former leader certainly does nothing any more in its term."""
-        return leader.ended or leader.entry == self._entry
+        if leader.ended or leader.entry == self._entry:
+            return True
+        # A later incarnation of a process starts only after the former one has ended.
+        return any(
+            name == leader.entry and record.incarnation != leader.incarnation
+            for name, record in self._peer_records()
+        )
+
+    def _check_predecessor(self) -> None:
+        """Tell the scheduler once the previous leader has certainly ended."""
+        term = self.term
+        if term is None or term.predecessor is None or term.predecessor_ended.is_set():
+            return
+        if self._has_ended(term.predecessor):
+            log.info("predecessor ended", extra={"entry": term.predecessor.entry})
+            term.predecessor_ended.set()
 
     def _new_leader_record(self, epoch: Epoch) -> bytes:
         """Return this entry's leader record for an epoch, with a unique token."""
--- a/packages/daemon/src/apricotpathd/hosttracker.py
+++ b/packages/daemon/src/apricotpathd/hosttracker.py
@@ -110,7 +110,8 @@
             frozenset(message.labels),
             message.capacity,
         )
-        host.runs_until = max(host.runs_until, now + self._cfg.run_hold_s)
+        # The agent takes no more grants of an earlier term or attachment.
+        host.runs_until = now + self._cfg.run_hold_s
         self.links[name] = link
         log.info(
             "host attached",
@@ -119,6 +120,12 @@
         self._wake()
         return HostAttached(self._term.epoch, host.fence)
 
+    def limit_holds(self, until: float) -> None:
+        """Set the time by which runs have ended on hosts that have not attached in this term."""
+        for host in self.hosts.values():
+            if host.facts is None:
+                host.runs_until = min(host.runs_until, until)
+
     def link_closed(self, link: Link) -> None:
         """Detach the hosts that are attached over a link."""
         for name in [name for name, used in self.links.items() if used is link]:
--- a/packages/daemon/src/apricotpathd/scheduler.py
+++ b/packages/daemon/src/apricotpathd/scheduler.py
@@ -127,6 +127,7 @@
             await self._mirror.loaded.wait()
             self.table.apply_all(records, boot_s())
             self._restore_hosts()
+            group.start_soon(self._shorten_holds)
             self.table.changed.update(self.table.rows)
             self.loaded.set()
             log.info(
@@ -154,12 +155,18 @@
 
     def _restore_hosts(self) -> None:
         """Add hosts with assigned runs, whose leases an earlier scheduler may have renewed."""
-        hold = self.cfg.run_hold_s
-        if not self.term.predecessor_ended:
-            hold += self.cfg.authority_s
-        for name, runs in self.table.by_host.items():
-            if runs:
-                self.host_tracker.hosts[name] = Host(name, runs_until=self._started + hold)
+        hold_s = self.cfg.run_hold_s
+        if not self.term.predecessor_ended.is_set():
+            hold_s += self.cfg.authority_s
+        hosts = [name for name, runs in self.table.by_host.items() if runs]
+        for name in hosts:
+            self.host_tracker.hosts[name] = Host(name, runs_until=self._started + hold_s)
+        log.info("runs of the last term held", extra={"hosts": len(hosts), "hold_s": hold_s})
+
+    async def _shorten_holds(self) -> None:
+        """Once the previous scheduler has ended, end the leases that it may have granted."""
+        await self.term.predecessor_ended.wait()
+        self.host_tracker.limit_holds(boot_s() + self.cfg.run_hold_s)
 
     def wake(self) -> None:
         """Run a scheduling pass soon."""
--- a/tests/features/replacements.feature
+++ b/tests/features/replacements.feature
@@ -64,14 +64,22 @@
     When all entries restart in turn, 2 seconds apart, each serving for 4.5 more seconds
     Then the replacements had a scheduler all the time, but for 0.5 seconds
 
-  # A successor waited as if its predecessor might still grant leases, although that had resigned.
-  Scenario: replacements run the tasks of a lost host again after its lease when the scheduler restarts
+  # A successor waited as if its predecessor might still grant leases, although that had ended or the host had
+  # heard from the successor.
+  Scenario Outline: replacements run the tasks of a lost host again after its lease when the scheduler <event>
     Given a world of replacements with 2 entries and 4 hosts
     And 6 long-running tasks at work
-    When the host with most tasks is lost while the scheduler restarts gracefully
-    Then no task of the replacements was down for longer than 7 seconds
+    When the host with most tasks is lost while the scheduler <event>
+    Then no task of the replacements was down for longer than <limit> seconds
     And no task of the replacements ran twice at the same time
 
+    Examples:
+      | event                                         | limit |
+      | restarts gracefully                           | 7     |
+      | is killed and starts again once it is replaced | 9     |
+      | is killed for good                            | 14.5  |
+      | was replaced 3 seconds before                 | 7     |
+
   # Incident inc1: tasks were down for over 13 seconds.
   Scenario: replacements run tasks again soon while executors are replaced and entries restart in turn
     Given a world of replacements with 3 entries and 8 hosts
--- a/tests/features/steps/replacements_steps.py
+++ b/tests/features/steps/replacements_steps.py
@@ -211,15 +211,20 @@
         leader = run.world.leader()
         assert leader is not None
         name = leader.process.hello.process_id
+        if event == "was replaced 3 seconds before":
+            await run.world.kill(leader)
+            await anyio.sleep(3.0)
         node = run.world.agents[run.busiest]
         node.model.shut_down()
         await run.world.kill(node)
         if event == "restarts gracefully":
             await run.restart_entry(name, 2.0)
-            return
-        await run.world.kill(leader)
-        if event == "is killed and starts again in time":
-            await anyio.sleep(RESTART_DELAY_S)
+        elif event == "is killed for good":
+            await run.world.kill(leader)
+        elif event == "is killed and starts again once it is replaced":
+            await run.world.kill(leader)
+            while run.world.leader() is None:
+                await anyio.sleep(SAMPLE_S)
             run.world.add_entry(name)
 
     scenario(context).background.append(act)
