--- a/tests/features/replacements.feature
+++ b/tests/features/replacements.feature
@@ -88,3 +88,72 @@
     And 5 hosts are replaced from second 3 on, 0.7 seconds apart
     Then no task of the replacements was down for longer than 4 seconds
     And no task of the replacements ran twice at the same time
+
+  # Two runs of a task at once, or a task that nobody starts again, after any order of events.
+  Scenario Outline: replacements run each task once at a time in a random order of events, seed <seed>
+    Given a world of replacements with 3 entries and 6 hosts
+    And 12 long-running tasks at work
+    When 12 random replacements, restarts and late notices follow one another with seed <seed>
+    Then no task of the replacements was down for longer than 16 seconds
+    And no task of the replacements ran twice at the same time
+
+    Examples:
+      | seed |
+      | 1    |
+      | 2    |
+      | 3    |
+      | 4    |
+
+    @long
+    Examples:
+      | seed |
+      | 11   |
+      | 12   |
+      | 13   |
+      | 14   |
+      | 15   |
+      | 16   |
+      | 17   |
+      | 18   |
+      | 19   |
+      | 20   |
+      | 21   |
+      | 22   |
+      | 23   |
+      | 24   |
+      | 25   |
+      | 26   |
+      | 27   |
+      | 28   |
+      | 29   |
+      | 30   |
+      | 31   |
+      | 32   |
+      | 33   |
+      | 34   |
+      | 35   |
+      | 36   |
+      | 37   |
+      | 38   |
+      | 39   |
+      | 40   |
+      | 41   |
+      | 42   |
+      | 43   |
+      | 44   |
+      | 45   |
+      | 46   |
+      | 47   |
+      | 48   |
+      | 49   |
+      | 50   |
+      | 51   |
+      | 52   |
+      | 53   |
+      | 54   |
+      | 55   |
+      | 56   |
+      | 57   |
+      | 58   |
+      | 59   |
+      | 60   |
--- a/tests/features/steps/replacements_steps.py
+++ b/tests/features/steps/replacements_steps.py
@@ -1,5 +1,6 @@
 """Steps for replacements.feature; the world runs in virtual time at the first check."""
 
+import random
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -43,6 +44,7 @@
         self.longest_down_s: dict[str, float] = {}
         self.without_scheduler_s = 0.0
         self.violations: list[str] = []
+        self.replaced: set[int] = set()
         self._world: JobWorld | None = None
         self._ran = False
 
@@ -123,6 +125,20 @@
         await anyio.sleep(AGENT_STOP_DELAY_S)
         await self.world.stop_agent(old)
 
+    async def add_host(self, old: int) -> None:
+        """Replace a host, unless it is being replaced already."""
+        if old not in self.replaced:
+            self.replaced.add(old)
+            await self.replace_host(old)
+
+    async def restart_agent(self, name: str, pause_s: float) -> None:
+        """Kill an agent and start it again."""
+        node = self.world.agents[name]
+        await self.world.kill(node)
+        await anyio.sleep(pause_s)
+        again = self.world.add_agent(name, HOST)
+        again.sends_heartbeats, again.drain_until = node.sends_heartbeats, node.drain_until
+
     async def restart_entry(self, name: str, serving_s: float) -> None:
         """Shut an entry down gracefully and start it again."""
         await self.world.stop_entry(name, serving_s)
@@ -130,6 +146,68 @@
         self.world.add_entry(name, agents_link_after_s=LOOKUP_S)
 
 
+class RandomEvents:
+    """Events in a random order that overlap, each of a random kind."""
+
+    def __init__(self, run: Replacements, seed: int) -> None:
+        self.run, self.rng = run, random.Random(seed)
+
+    async def happen(self, count: int) -> None:
+        """Begin an event at a time, and wait until all are over."""
+        kinds = [
+            self.replace_host,
+            self.restart_entry,
+            self.kill_entry,
+            self.restart_agent,
+            self.deregister_late,
+            self.silence_executor,
+        ]
+        async with anyio.create_task_group() as group:
+            for _ in range(count):
+                group.start_soon(self.rng.choice(kinds))
+                await anyio.sleep(self.rng.uniform(0.1, 3.0))
+
+    def _any_agent(self) -> str:
+        """Return the name of an agent that is not stopped."""
+        agents = self.run.world.agents
+        return self.rng.choice([n for n, node in agents.items() if not node.scope.cancel_called])
+
+    async def replace_host(self) -> None:
+        await self.run.add_host(self.rng.randrange(3))
+
+    async def restart_entry(self) -> None:
+        name = self.rng.choice(list(self.run.world.entries))
+        if not self.run.world.entries[name].jobs.election.draining:
+            await self.run.restart_entry(name, self.rng.uniform(0.5, 4.5))
+
+    async def kill_entry(self) -> None:
+        name = self.rng.choice(list(self.run.world.entries))
+        node = self.run.world.entries[name]
+        if node.jobs.election.draining:
+            return
+        node.jobs.election.draining = True
+        await self.run.world.kill(node)
+        await anyio.sleep(self.rng.uniform(0.3, 3.0))
+        self.run.world.add_entry(name)
+
+    async def restart_agent(self) -> None:
+        # The hosts with lower numbers are replaced.
+        name = f"host{self.rng.randrange(3, 6)}"
+        if not self.run.world.agents[name].scope.cancel_called:
+            await self.run.restart_agent(name, self.rng.uniform(0.2, 2.0))
+
+    async def deregister_late(self) -> None:
+        node = self.run.world.agents[self._any_agent()]
+        node.agent.on_executor_shutdown(node.model.name)
+
+    async def silence_executor(self) -> None:
+        executor: Any = self.run.world.agents[self._any_agent()].agent.executor
+        if executor is not None:
+            executor.unresponsive = True
+            await anyio.sleep(self.rng.uniform(0.5, 4.0))
+            executor.unresponsive = False
+
+
 def scenario(context: Any) -> Replacements:
     found: Replacements = context.replacements
     return found
@@ -205,6 +283,16 @@
     scenario(context).background.append(act)
 
 
+@when(
+    "{count:d} random replacements, restarts and late notices follow one another with seed {seed:d}"
+)
+def random_events(context: Any, count: int, seed: int) -> None:
+    async def act(run: Replacements) -> None:
+        await RandomEvents(run, seed).happen(count)
+
+    scenario(context).background.append(act)
+
+
 @when("the host with most tasks is lost while the scheduler {event}")
 def lose_host(context: Any, event: str) -> None:
     async def act(run: Replacements) -> None:
