--- a/packages/core/src/apricotpath/link.py
+++ b/packages/core/src/apricotpath/link.py
@@ -22,6 +22,7 @@
 from apricotpath.config import Address, LinkSettings, TlsSettings
 from apricotpath.errors import CodecError, LinkError, PeerError, SettingsError
 from apricotpath.messages import Failure, Heartbeat, Hello, Message
+from apricotpath.traffic import Traffic
 
 log = logging.getLogger(__name__)
 
@@ -71,6 +72,7 @@
         self.bytes_sent = 0
         self.bytes_received = 0
         self.frames_sent = 0
+        self.traffic = Traffic()
         self.last_queued_at = float("-inf")
         self.frames_received = 0
         self.is_open = False
@@ -142,7 +144,7 @@
             await self._outbox_drained.wait()
             self._require_open()
         number = self._allocate_id()
-        self._enqueue(encode(Envelope(number, reply_to, body)))
+        self._enqueue(Envelope(number, reply_to, body))
         return number
 
     def send_nowait(self, body: Message, reply_to: int = 0) -> None:
@@ -150,7 +152,7 @@
         self._require_open()
         if len(self._outbox) >= self.cfg.send_queue:
             raise LinkError("the link's send queue is full")
-        self._enqueue(encode(Envelope(self._allocate_id(), reply_to, body)))
+        self._enqueue(Envelope(self._allocate_id(), reply_to, body))
 
     async def call(self, body: Message, timeout_s: float | None = None) -> Message:
         """Send a message and return the reply.
@@ -171,7 +173,7 @@
                     self._require_open()
                 number = self._allocate_id()
                 self._calls[number] = call
-                self._enqueue(encode(Envelope(number, 0, body)))
+                self._enqueue(Envelope(number, 0, body))
                 await call.done.wait()
         finally:
             self._calls.pop(number, None)
@@ -187,8 +189,10 @@
         if not self.is_open:
             raise LinkError(self._close_reason or "the link is closed")
 
-    def _enqueue(self, frame: bytes) -> None:
+    def _enqueue(self, envelope: Envelope) -> None:
+        frame = encode(envelope)
         self.frames_sent += 1
+        self.traffic.sent[type(envelope.body).__name__] += len(frame)
         self.last_queued_at = anyio.current_time()
         self._outbox.append(frame)
         self._outbox_filled.set()
@@ -220,7 +224,9 @@
 
     async def _read(self) -> Envelope:
         length = frame_length(await self._read_exactly(LENGTH_BYTES))
-        return decode(await self._read_exactly(length))
+        envelope = decode(await self._read_exactly(length))
+        self.traffic.received[type(envelope.body).__name__] += LENGTH_BYTES + length
+        return envelope
 
     async def _read_exactly(self, count: int) -> bytes:
         """Return `count` bytes; one read from the stream may buffer many small frames."""
--- a/packages/daemon/src/apricotpathd/process.py
+++ b/packages/daemon/src/apricotpathd/process.py
@@ -14,6 +14,7 @@
 from apricotpath.link import Link
 from apricotpath.messages import DataCentreStatus, Heartbeat, Hello, Message
 from apricotpath.model import Role
+from apricotpath.traffic import Traffic
 from apricotpathd.component import Component
 
 log = logging.getLogger(__name__)
@@ -35,6 +36,7 @@
         self.draining = False
         self._heartbeats = 0
         self._closed_frames = 0
+        self._closed_traffic = Traffic()
         self._routes: dict[type[Message], list[Component]] = {}
 
     def set_components(self, components: Sequence[Component]) -> None:
@@ -77,6 +79,7 @@
         """Remove a closed link and notify every component."""
         self.links.remove(link)
         self._closed_frames += link.frames_sent + link.frames_received
+        self._closed_traffic += link.traffic
         for component in self.components:
             await component.link_closed(link)
 
@@ -86,6 +89,10 @@
             link.frames_sent + link.frames_received for link in self.links
         )
 
+    def link_traffic(self) -> Traffic:
+        """Return the bytes sent and received on all links so far, by message type."""
+        return sum((link.traffic for link in self.links), self._closed_traffic)
+
     async def serve(self, group: TaskGroup) -> None:
         """Start the background loops of all components in a task group."""
         for component in self.components:
--- a/tests/features/link.feature
+++ b/tests/features/link.feature
@@ -31,6 +31,12 @@
       | send heartbeats when busy      | 6     | 12   |
       | send heartbeats only when idle | 0     | 4    |
 
+  # Guards against a full network link whose causes no log tells apart.
+  Scenario: a link counts its bytes by message type
+    Given two linked processes with a silence limit of 3 s
+    When messages go both ways on the link every 0.1 s for 0.5 s
+    Then both ends count the same bytes of calls and replies
+
   Scenario Outline: a bad byte stream ends only its own link
     Given two linked processes with a silence limit of 3 s
     When an unknown client connects to the link port and sends <bytes>
--- a/tests/features/steps/link_steps.py
+++ b/tests/features/steps/link_steps.py
@@ -189,6 +189,13 @@
     assert least <= context.link.result <= most, context.link.result
 
 
+@then("both ends count the same bytes of calls and replies")
+def _(context: Any) -> None:
+    near, far = context.link.client.links[0].traffic, context.link.server.links[0].traffic
+    assert near.sent["JobCall"] == far.received["JobCall"] > 0
+    assert far.sent["JobReply"] == near.received["JobReply"] > 0
+
+
 @when("{count:d} link calls are answered in reverse order")
 def _(context: Any, count: int) -> None:
     context.link.run(lambda: context.link.call_with_reversed_replies(count))
--- a/tests/support/jobworld.py
+++ b/tests/support/jobworld.py
@@ -1,6 +1,7 @@
 """Entries, agents, executors and a store in virtual time, connected by in-memory links."""
 
 import random
+from collections import Counter
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
 from itertools import pairwise
@@ -24,6 +25,7 @@
 from apricotpath.jobmetrics import JobMetrics
 from apricotpath.messages import Failure, Hello, Message
 from apricotpath.model import Role, Size
+from apricotpath.traffic import Traffic
 from apricotpath.workload import HostFacts, Job, Queue, Step, TaskKey
 from apricotpathd.attachment import ExecutorState
 from apricotpathd.dialler import Dialler
@@ -64,6 +66,7 @@
         self.other: MemoryLink | None = None
         self.is_open = True
         self.frames_sent = self.frames_received = 0
+        self.traffic = Traffic()
         self._number = 0
         self._calls: dict[int, Any] = {}
         self._sent: list[Envelope] = []
@@ -77,6 +80,7 @@
             raise LinkError("the link is closed")
         self._number += 1
         self.frames_sent += 1
+        self.world.messages[type(body).__name__] += 1
         self.world.group.start_soon(self._deliver, Envelope(self._number, reply_to, body))
 
     async def send(self, body: Message, reply_to: int = 0) -> int:
@@ -157,6 +161,7 @@
         self.partitioned_pairs: set[frozenset[str]] = set()
         self.links: list[MemoryLink] = []
         self.unanswered_share = 0.0
+        self.messages: Counter[str] = Counter()
         self._paused: dict[str, anyio.Event] = {}
         self._jobs_submitted = 0
 
