--- a/packages/daemon/src/apricotpathd/attachment.py
+++ b/packages/daemon/src/apricotpathd/attachment.py
@@ -1,9 +1,13 @@
 """An agent's state of its executor, and of one attachment to a scheduler with its runs."""
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+import anyio
+
 from apricotpath.ids import Epoch, FenceToken, TaskId
 from apricotpath.link import Link
+from apricotpath.messages import RunEnding
 from apricotpath.workload import HostFacts
 
 
@@ -32,7 +36,9 @@
 class Attachment:
     """One attachment to a scheduler, with its fencing token.
 
-    `acked_ending` is the number of the last ending that the scheduler has recorded.
+    `acked_ending` is the number of the last ending that the scheduler has recorded,
+    `reported_ending` of the last one reported to it. `settled` is set while these are
+    equal, and when the attachment ends.
     """
 
     link: Link
@@ -43,7 +49,25 @@
     sent_at: dict[int, float] = field(default_factory=dict)
     granted_until: float = 0.0
     acked_ending: int = 0
+    reported_ending: int = 0
+    settled: anyio.Event = field(default_factory=anyio.Event)
     reported: bool = False
     renewal_failed: bool = False
     reported_runs: set[tuple[TaskId, int]] = field(default_factory=set)
     views: dict[tuple[TaskId, int], RunView] = field(default_factory=dict)
+
+    def __post_init__(self) -> None:
+        self.settled.set()
+
+    def report_endings(self, endings: Iterable[RunEnding]) -> None:
+        """Note that endings were reported; they are unsettled until acknowledged."""
+        newest = max((ending.number for ending in endings), default=0)
+        self.reported_ending = max(self.reported_ending, newest)
+        if self.reported_ending > self.acked_ending and self.settled.is_set():
+            self.settled = anyio.Event()
+
+    def acknowledge_endings(self, number: int) -> None:
+        """Note that the scheduler has recorded all endings up to a number."""
+        self.acked_ending = max(self.acked_ending, number)
+        if self.acked_ending >= self.reported_ending:
+            self.settled.set()
--- a/packages/daemon/src/apricotpathd/hostagent.py
+++ b/packages/daemon/src/apricotpathd/hostagent.py
@@ -124,6 +124,7 @@
     def _detach(self, reason: str) -> None:
         if self.attachment is not None:
             log.info("detached: %s", reason)
+            self.attachment.settled.set()
             self.attachment = None
         self._signal()
 
@@ -188,14 +189,17 @@
         return True
 
     async def _renew_once(self) -> None:
-        attached, executor = self.attachment, self.executor
-        if attached is None or executor is None:
+        attached = self.attachment
+        if attached is None or self.executor is None:
             changed = self.changed
             if self.attachment is None or self.executor is None:
                 await changed.wait()
             return
+        wait_s = await self._wait_until_settled(attached)
+        executor = self.executor
+        if attached is not self.attachment or executor is None:
+            return
         sent = boot_s()
-        wait_s = self._renewal_wait_s(attached)
         try:
             executor_report = await executor.renew_lease(
                 attached.fence, attached.acked_ending, self._deadline(attached), wait_s
@@ -215,6 +219,17 @@
             if attached is self.attachment:
                 await self._handle_report(attached, executor_report, sent)
 
+    async def _wait_until_settled(self, attached: Attachment) -> float:
+        """Wait until reported endings are acknowledged; return how long the renewal may wait.
+
+        The executor answers a renewal at once while it has endings to list, so that
+        renewals in the meantime would only repeat the same report.
+        """
+        wait_s = self._renewal_wait_s(attached)
+        with anyio.move_on_after(wait_s) as scope:
+            await attached.settled.wait()
+        return 0.0 if scope.cancelled_caught else wait_s
+
     def _renewal_wait_s(self, attached: Attachment) -> float:
         """Return how long the next renewal may wait; 0 after a failed one."""
         if not attached.reported or attached.renewal_failed:
@@ -280,6 +295,7 @@
         )
         if self._send(attached, report):
             attached.reported = True
+            attached.report_endings(endings)
 
     @staticmethod
     def _add_pace(attached: Attachment, status: RunStatus) -> RunStatus:
@@ -456,7 +472,7 @@
             if sent is not None:
                 until = sent + self.cfg.run_lease_s
                 attached.granted_until = max(attached.granted_until, until)
-            attached.acked_ending = max(attached.acked_ending, body.noted)
+            attached.acknowledge_endings(body.noted)
         elif isinstance(body, StartRuns) and body.fence == attached.fence:
             sent = attached.sent_at.get(body.renewal, float("-inf"))
             for order in body.orders:
--- a/packages/daemon/src/apricotpathd/hosttracker.py
+++ b/packages/daemon/src/apricotpathd/hosttracker.py
@@ -160,6 +160,15 @@
         host.runs_until = max(host.runs_until, now + self._cfg.run_hold_s)
         send_nowait(link, HostGrant(host.fence, renewal, host.acked_ending))
 
+    def acknowledge_endings(self, name: HostId, number: int) -> None:
+        """Tell a host that its endings up to a number are recorded."""
+        host, link = self.hosts.get(name), self.links.get(name)
+        if host is None:
+            return
+        host.acked_ending = max(host.acked_ending, number)
+        if link is not None and host.reported:
+            self._grant(host, link, host.renewal, boot_s())
+
     def _match_runs(self, host: Host, message: HostRuns, now: float) -> None:
         """Reconcile the runs that a host reports with the job table."""
         expected = self._table.by_host.get(host.host, {})
--- a/packages/daemon/src/apricotpathd/scheduler.py
+++ b/packages/daemon/src/apricotpathd/scheduler.py
@@ -408,9 +408,7 @@
     def _complete_batch(self, batch: _Batch) -> None:
         """Acknowledge the endings and send the starts of a batch that has become durable."""
         for name, number in batch.acked_endings.items():
-            host = self.host_tracker.hosts.get(name)
-            if host is not None:
-                host.acked_ending = max(host.acked_ending, number)
+            self.host_tracker.acknowledge_endings(name, number)
         by_host: dict[HostId, list[Placement]] = {}
         for fence, placement in batch.starts:
             # If the host has attached again meanwhile, its first report shows that the run is
--- a/tests/features/hostagent.feature
+++ b/tests/features/hostagent.feature
@@ -40,6 +40,18 @@
     Then the hostagent answers started within 2 seconds
     And the hostagent's executor ran it once in the next 15 seconds
 
+  # Guards against reports that fill the scheduler's link while it has not acknowledged an ending.
+  Scenario: hostagent repeats an ending without an acknowledgement at its usual interval only
+    Given a hostagent whose scheduler grants
+    When a run of 1 second is ordered of the hostagent
+    Then the hostagent sends 4 to 9 reports in 5 seconds, all but 2 of them with the ending
+
+  # Guards against a next ending that waits for the interval although the first was acknowledged.
+  Scenario: hostagent reports the next ending as soon as the first is acknowledged
+    Given a hostagent whose scheduler grants and acknowledges endings after 0.1 seconds
+    When runs of 1 and of 1.05 seconds are ordered of the hostagent
+    Then the hostagent has reported 2 endings within 1.3 seconds
+
   Scenario: hostagent follows the scheduler of the highest epoch only
     Given a hostagent whose scheduler grants
     When the hostagent gets a notice of a scheduler of an earlier epoch
--- a/tests/features/jobworld.feature
+++ b/tests/features/jobworld.feature
@@ -12,6 +12,13 @@
     Then the jobworld's job is completed within 5 seconds at every entry
     And no invariant of the jobworld was violated
 
+  # Guards against agents that report endings again and again until these are in the run log.
+  Scenario: jobworld acknowledges an ending without being asked for it
+    Given a jobworld of 1 entries and 1 agents
+    When a job of steps 2 and 2 is submitted to the jobworld
+    Then the jobworld's job is completed within 3 seconds
+    And the jobworld's agents have sent at most 12 reports
+
   Scenario Outline: jobworld goes on when <fault>
     Given a jobworld of 3 entries and 4 agents
     And tasks of the jobworld take 4 seconds
--- a/tests/features/steps/hostagent_steps.py
+++ b/tests/features/steps/hostagent_steps.py
@@ -88,8 +88,14 @@
         if isinstance(body, HostRuns):
             case.renewals.append((body.renewal, boot_s()))
             case.filler_percent = body.filler_percent
+            case.reports_with_endings += bool(body.endings)
+            case.endings |= {ending.number for ending in body.endings}
             if case.granting:
                 case.send_later(HostGrant(body.fence, body.renewal, 0))
+            if case.granting and case.ack_after_s is not None:
+                number = max(case.endings, default=0)
+                grant = HostGrant(body.fence, body.renewal, number)
+                case.send_later(grant, case.ack_after_s)
         elif isinstance(body, OrderAnswers):
             case.answers += [answer.answer for answer in body.answers]
 
@@ -103,6 +109,9 @@
         self.renewals: list[tuple[int, float]] = []
         self.answers: list[StartAnswer] = []
         self.filler_percent = 100.0
+        self.reports_with_endings = 0
+        self.endings: set[int] = set()
+        self.ack_after_s: float | None = None
         self.answers_every_second: bool | None = None
         self.actions: list[Callable[[], Awaitable[None]]] = []
 
@@ -148,8 +157,12 @@
     async def deliver(self, message: Message) -> None:
         await self.agent.received(self.link, Envelope(1, 0, message))
 
-    def send_later(self, message: Message) -> None:
-        self.group.start_soon(self.deliver, message)
+    def send_later(self, message: Message, after_s: float = 0.0) -> None:
+        self.group.start_soon(self._deliver_after, message, after_s)
+
+    async def _deliver_after(self, message: Message, after_s: float) -> None:
+        await anyio.sleep(after_s)
+        await self.deliver(message)
 
     async def order(
         self, task: TaskId = TASK, fence: int = 0, renewal: int = 0, **traits: Any
@@ -173,6 +186,12 @@
     context.case = AgentCase()
 
 
+@given("a hostagent whose scheduler grants and acknowledges endings after {seconds:g} seconds")
+def acknowledging_agent(context: Any, seconds: float) -> None:
+    context.case = AgentCase()
+    context.case.ack_after_s = seconds
+
+
 @given("its executor answers no starts and carries them out up to 12 seconds later")
 def answers_every_second(context: Any) -> None:
     context.case.answers_every_second = False
@@ -197,6 +216,24 @@
     case.actions.append(act)
 
 
+@when("a run of 1 second is ordered of the hostagent")
+def order_short_run(context: Any) -> None:
+    order_run(context, 1)
+
+
+@when("runs of {first:g} and of {second:g} seconds are ordered of the hostagent")
+def order_two_runs(context: Any, first: float, second: float) -> None:
+    case: AgentCase = context.case
+
+    async def act() -> None:
+        for task, seconds in ((TASK, first), (FILLER, second)):
+            case.behaviour.seconds = seconds
+            await case.order(task)
+            await anyio.sleep(0.01)
+
+    case.actions.append(act)
+
+
 @when("a run of {seconds:d} seconds is ordered of the hostagent")
 def order_run(context: Any, seconds: int) -> None:
     case: AgentCase = context.case
@@ -324,6 +361,39 @@
     check(context, act)
 
 
+@then(
+    "the hostagent sends {least:d} to {most:d} reports in {seconds:d} seconds, "
+    "all but {others:d} of them with the ending"
+)
+def report_count(context: Any, least: int, most: int, seconds: int, others: int) -> None:
+    case: AgentCase = context.case
+
+    async def act() -> None:
+        before = len(case.renewals)
+        with anyio.move_on_after(seconds):
+            while len(case.renewals) - before <= most:
+                await anyio.sleep(0.01)
+        sent = len(case.renewals) - before
+        assert least <= sent <= most, sent
+        assert sent - others <= case.reports_with_endings <= sent, case.reports_with_endings
+
+    check(context, act)
+    case.run()
+
+
+@then("the hostagent has reported {count:d} endings within {seconds:g} seconds")
+def endings_reported(context: Any, count: int, seconds: float) -> None:
+    case: AgentCase = context.case
+
+    async def act() -> None:
+        with anyio.fail_after(seconds):
+            while len(case.endings) < count:
+                await anyio.sleep(0.01)
+
+    check(context, act)
+    case.run()
+
+
 @then("no run begins at the hostagent's executor in the next {seconds:d} seconds")
 def none_begins(context: Any, seconds: int) -> None:
     case: AgentCase = context.case
--- a/tests/features/steps/jobworld_steps.py
+++ b/tests/features/steps/jobworld_steps.py
@@ -128,6 +128,12 @@
     script(context).actions.append(act)
 
 
+@then("the jobworld's agents have sent at most {most:d} reports")
+def reports_sent(context: Any, most: int) -> None:
+    sent = script(context).running_world.messages["HostRuns"]
+    assert sent <= most, sent
+
+
 @then("the scheduler of the jobworld is {which} within {limit:d} seconds")
 def scheduler_is(context: Any, which: str, limit: int) -> None:
     async def act(run: Script) -> None:
--- a/tests/support/executormodel.py
+++ b/tests/support/executormodel.py
@@ -197,8 +197,9 @@
         if deadline_ms is not None:
             model.deadline = max(model.deadline, model.started_at + deadline_ms / 1000)
         model.endings = [ending for ending in model.endings if ending.number > acknowledged]
-        ends_at, last_number = boot_s() + wait_s, model.last_ending_number
-        while boot_s() < ends_at and model.last_ending_number == last_number:
+        ends_at = boot_s() + wait_s
+        # Like a real executor, it waits for an end only while it has none to list.
+        while boot_s() < ends_at and not model.endings:
             model.process_due()
             soonest = min([run.ends_at for run in model.runs.values()], default=ends_at)
             changed = model.changed
--- a/tests/support/platformstandin.py
+++ b/tests/support/platformstandin.py
@@ -220,8 +220,9 @@
             until = model.started_at + body["deadlineMs"] / 1000
             model.deadline = max(model.deadline, until)
         model.endings = [ending for ending in model.endings if ending.number > body["lastSeen"]]
-        ends_at, seen = boot_s() + body["waitMs"] / 1000, model.last_ending_number
-        while boot_s() < ends_at and model.last_ending_number == seen:
+        ends_at = boot_s() + body["waitMs"] / 1000
+        # Like a real executor, it waits for an end only while it has none to list.
+        while boot_s() < ends_at and not model.endings:
             await anyio.sleep(0.02)
             model.process_due()
         running = [
