--- a/packages/daemon/src/apricotpathd/hosttracker.py
+++ b/packages/daemon/src/apricotpathd/hosttracker.py
@@ -55,6 +55,14 @@
     ending: RunEnding
 
 
+class ExecutorName(NamedTuple):
+    """One incarnation of a host's executor; each numbers its endings anew."""
+
+    host: HostId
+    instance: str
+    born_ms: int
+
+
 class LostRun(NamedTuple):
     """A run that never began, or that has certainly ended without a reported ending."""
 
@@ -160,10 +168,14 @@
         host.runs_until = max(host.runs_until, now + self._cfg.run_hold_s)
         send_nowait(link, HostGrant(host.fence, renewal, host.acked_ending))
 
-    def acknowledge_endings(self, name: HostId, number: int) -> None:
-        """Tell a host that its endings up to a number are recorded."""
-        host, link = self.hosts.get(name), self.links.get(name)
-        if host is None:
+    def acknowledge_endings(self, executor: ExecutorName, number: int) -> None:
+        """Tell a host that the endings of its executor up to a number are recorded.
+
+        Nothing is sent if the executor has restarted meanwhile.
+        """
+        host, link = self.hosts.get(executor.host), self.links.get(executor.host)
+        incarnation = (executor.instance, executor.born_ms)
+        if host is None or host.executor_incarnation() != incarnation:
             return
         host.acked_ending = max(host.acked_ending, number)
         if link is not None and host.reported:
--- a/packages/daemon/src/apricotpathd/scheduler.py
+++ b/packages/daemon/src/apricotpathd/scheduler.py
@@ -37,7 +37,7 @@
 from apricotpath.store import Delete, Put
 from apricotpath.waitreasons import host_row, long_waits
 from apricotpath.workload import Job, Queue, RunResult, TaskKey
-from apricotpathd.hosttracker import HostTracker
+from apricotpathd.hosttracker import ExecutorName, HostTracker
 from apricotpathd.jobservice import JobKeys
 from apricotpathd.runstops import RunStops
 
@@ -71,13 +71,14 @@
     """Records of one append, and the actions to take once they are durable.
 
     `starts` pairs each placement with the fencing token of the attachment that it was
-    decided for. `acked_endings` holds the number of the last ending recorded for each host.
+    decided for. `acked_endings` holds the number of the last ending recorded for each
+    incarnation of an executor.
     """
 
     records: list[RunRecord] = field(default_factory=list)
     extra: list[Put | Delete] = field(default_factory=list)
     starts: list[tuple[FenceToken, Placement]] = field(default_factory=list)
-    acked_endings: dict[HostId, int] = field(default_factory=dict)
+    acked_endings: dict[ExecutorName, int] = field(default_factory=dict)
 
 
 class Scheduler:
@@ -303,7 +304,7 @@
             host = self.host_tracker.hosts.get(name)
             if host is None or host.executor_incarnation() != executor_incarnation:
                 continue
-            batch.acked_endings[name] = ending.number
+            batch.acked_endings[ExecutorName(name, *executor_incarnation)] = ending.number
             try:
                 key = TaskKey.parse(ending.task)
             except InputError as exc:
@@ -407,8 +408,8 @@
 
     def _complete_batch(self, batch: _Batch) -> None:
         """Acknowledge the endings and send the starts of a batch that has become durable."""
-        for name, number in batch.acked_endings.items():
-            self.host_tracker.acknowledge_endings(name, number)
+        for executor, number in batch.acked_endings.items():
+            self.host_tracker.acknowledge_endings(executor, number)
         by_host: dict[HostId, list[Placement]] = {}
         for fence, placement in batch.starts:
             # If the host has attached again meanwhile, its first report shows that the run is
--- a/tests/features/jobworld.feature
+++ b/tests/features/jobworld.feature
@@ -87,6 +87,15 @@
     And no invariant of the jobworld was violated
     And tasks of the jobworld started at most 6 times
 
+  # Guards against endings of a restarted executor that count as recorded, since those of its
+  # former incarnation had the same numbers.
+  Scenario: jobworld records the endings of an executor that restarts while earlier ones are written
+    Given a jobworld of 2 entries and 1 agents
+    When host0's executor restarts while the endings of a job of 3 tasks are written
+    And a job of steps 3 and 1 is submitted to the jobworld
+    Then the jobworld's jobs are completed within 8 seconds
+    And no invariant of the jobworld was violated
+
   Scenario: jobworld tells an agent of the next scheduler through an entry that does not schedule
     Given a jobworld of 6 entries and 2 agents
     When host0 of the jobworld is linked to the scheduler and one other entry, and the scheduler is killed
--- a/tests/features/steps/jobworld_steps.py
+++ b/tests/features/steps/jobworld_steps.py
@@ -536,6 +536,26 @@
     script(context).actions.append(act)
 
 
+@when("host0's executor restarts while the endings of a job of {count:d} tasks are written")
+def restart_during_write(context: Any, count: int) -> None:
+    async def act(run: Script) -> None:
+        world = run.running_world
+        leader, agent = world.leader(), world.agents["host0"]
+        assert leader is not None
+        run.jobs.append(await world.submit(Step(count, CORE, 1.0)))
+        await anyio.sleep(0.9 * run.seconds)
+        leader.store.faults.silent = True
+        while agent.model.last_ending_number < count:
+            await anyio.sleep(0.01)
+        await anyio.sleep(0.1)
+        leader.store.faults.silent = False
+        agent.model.crash()
+        await anyio.sleep(2.0)
+        assert leader is world.leader()
+
+    script(context).actions.append(act)
+
+
 @when("a job is submitted to the jobworld while writes are late, and again while all are refused")
 def submit_with_unknown_outcome(context: Any) -> None:
     async def act(run: Script) -> None:
