--- a/packages/daemon/src/apricotpathd/attachment.py
+++ b/packages/daemon/src/apricotpathd/attachment.py
@@ -1,10 +1,14 @@
 """An agent's state of its executor, and of one attachment to a scheduler with its runs."""
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
 
+import anyio
+
 from apricotpath.ids import Epoch, FenceToken, TaskId
 from apricotpath.link import Link
+from apricotpath.messages import RunEnding
 from apricotpath.workload import HostFacts
 
 
@@ -45,8 +49,11 @@
 class Attachment:
     """One attachment to a scheduler, with its fencing token.
 
-    `acked_ending` is the number of the last ending that the scheduler has recorded, and
-    `granted_renewal` that of the newest report for which it has granted a lease.
+    `acked_ending` is the number of the last ending that the scheduler has recorded,
+    `reported_ending` of the last one reported to it. `settled` is set while these are
+    equal, and when the attachment ends. `granted_renewal` is the number of the newest
+    report for which a lease was granted, `final_renewal` that of the report on the end of
+    the executor.
     """
 
     link: Link
@@ -59,7 +66,25 @@
     granted_renewal: int = 0
     final_renewal: int | None = None
     acked_ending: int = 0
+    reported_ending: int = 0
+    settled: anyio.Event = field(default_factory=anyio.Event)
     reported: bool = False
     renewal_failed: bool = False
     reported_runs: set[tuple[TaskId, int]] = field(default_factory=set)
     views: dict[tuple[TaskId, int], RunView] = field(default_factory=dict)
+
+    def __post_init__(self) -> None:
+        self.settled.set()
+
+    def report_endings(self, endings: Iterable[RunEnding]) -> None:
+        """Note that endings were reported; they are unsettled until acknowledged."""
+        newest = max((ending.number for ending in endings), default=0)
+        self.reported_ending = max(self.reported_ending, newest)
+        if self.reported_ending > self.acked_ending and self.settled.is_set():
+            self.settled = anyio.Event()
+
+    def acknowledge_endings(self, number: int) -> None:
+        """Note that the scheduler has recorded all endings up to a number."""
+        self.acked_ending = max(self.acked_ending, number)
+        if self.acked_ending >= self.reported_ending:
+            self.settled.set()
--- a/packages/daemon/src/apricotpathd/hostagent.py
+++ b/packages/daemon/src/apricotpathd/hostagent.py
@@ -146,6 +146,7 @@
     def _detach(self, reason: str) -> None:
         if self.attachment is not None:
             log.info("detached: %s", reason)
+            self.attachment.settled.set()
             self.attachment = None
         self._signal()
 
@@ -210,8 +211,8 @@
         return True
 
     async def _renew_once(self) -> None:
-        attached, executor = self.attachment, self.executor
-        if attached is None or executor is None:
+        attached = self.attachment
+        if attached is None or self.executor is None:
             await self.changed.wait()
             return
         if self.phase is ExecutorPhase.ENDED:
@@ -220,8 +221,11 @@
                 self._report_end(attached)
             await changed.wait()
             return
+        wait_s = await self._wait_until_settled(attached)
+        executor = self.executor
+        if attached is not self.attachment or executor is None:
+            return
         sent = boot_s()
-        wait_s = self._renewal_wait_s(attached)
         try:
             executor_report = await executor.renew_lease(
                 attached.fence, attached.acked_ending, self._deadline(attached), wait_s
@@ -245,6 +249,17 @@
             if attached is self.attachment:
                 await self._handle_report(attached, executor_report, sent)
 
+    async def _wait_until_settled(self, attached: Attachment) -> float:
+        """Wait until reported endings are acknowledged; return how long the renewal may wait.
+
+        The executor answers a renewal at once while it has endings to list, so that
+        renewals in the meantime would only repeat the same report.
+        """
+        wait_s = self._renewal_wait_s(attached)
+        with anyio.move_on_after(wait_s) as scope:
+            await attached.settled.wait()
+        return 0.0 if scope.cancelled_caught else wait_s
+
     def _renewal_wait_s(self, attached: Attachment) -> float:
         """Return how long the next renewal may wait; 0 after a failed one."""
         if not attached.reported or attached.renewal_failed:
@@ -317,6 +332,7 @@
         )
         if self._send(attached, report):
             attached.reported = True
+            attached.report_endings(endings)
 
     @staticmethod
     def _add_pace(attached: Attachment, status: RunStatus) -> RunStatus:
@@ -494,7 +510,7 @@
                 attached.granted_until = max(attached.granted_until, until)
                 attached.granted_renewal = max(attached.granted_renewal, body.renewal)
                 self._signal_if_end_reported(attached)
-            attached.acked_ending = max(attached.acked_ending, body.noted)
+            attached.acknowledge_endings(body.noted)
         elif isinstance(body, StartRuns) and body.fence == attached.fence:
             sent = attached.sent_at.get(body.renewal, float("-inf"))
             for order in body.orders:
