--- a/packages/daemon/src/apricotpathd/hostagent.py
+++ b/packages/daemon/src/apricotpathd/hostagent.py
@@ -41,9 +41,9 @@
     StopRuns,
 )
 from apricotpath.model import StartAnswer
-from apricotpath.pacing import Pacer, speed_limits
 from apricotpath.workload import HostFacts
 from apricotpathd.attachment import Attachment, ExecutorPhase, ExecutorState, RunView
+from apricotpathd.fillerpacing import FillerPacing
 
 log = logging.getLogger(__name__)
 
@@ -55,11 +55,6 @@
 ATTACH_RETRY_S = 0.1
 # Pause between two attempts of an order that the executor did not answer.
 ORDER_RETRY_S = 0.05
-# Load readings are averages over half a second, so faster pacing would gain little.
-PACE_INTERVAL_S = 0.35
-# An unchanged pace is sent again, since an older order may be carried out late.
-PACE_REPEAT_S = 2.0
-PACE_LOG_INTERVAL_S = 2.0
 # Number of reports whose send times are kept; reports are at least 0.4 s apart.
 MAX_RENEWALS = 64
 
@@ -96,9 +91,7 @@
         self._links: list[Link] = []
         self.changed = anyio.Event()
         self._group: TaskGroup | None = None
-        self.pacer = Pacer()
-        self._paced_at = float("-inf")
-        self._pace_logged_at = float("-inf")
+        self.pacing = FillerPacing()
 
     # State of the executor.
 
@@ -171,6 +164,7 @@
         """Attach, poll the executor and report until cancelled."""
         async with anyio.create_task_group() as self._group:
             self._group.start_soon(self._attach_forever)
+            self._group.start_soon(self.pacing.run)
             while True:
                 await self._renew_once()
 
@@ -247,7 +241,7 @@
         else:
             attached.renewal_failed = False
             if attached is self.attachment:
-                await self._handle_report(attached, executor_report, sent)
+                await self._handle_report(attached, executor, executor_report, sent)
 
     async def _wait_until_settled(self, attached: Attachment) -> float:
         """Wait until reported endings are acknowledged; return how long the renewal may wait.
@@ -277,7 +271,11 @@
         attached.final_renewal = attached.renewal
 
     async def _handle_report(
-        self, attached: Attachment, executor_report: ExecutorReport, sent: float
+        self,
+        attached: Attachment,
+        executor: Executor,
+        executor_report: ExecutorReport,
+        sent: float,
     ) -> None:
         """Report the executor's runs and endings, and adjust the pace of filler tasks."""
         if (
@@ -304,7 +302,7 @@
         for task, run in missing:
             del attached.views[task, run]
             self._answer(attached, task, run, StartAnswer.REFUSED)
-        await self._adjust_pace(attached, executor_report.runs)
+        self.pacing.update(attached, executor, executor_report.runs)
 
     def _report(
         self,
@@ -326,7 +324,7 @@
             complete,
             draining,
             int(min(left_s, 3600.0) * 1000),
-            self.pacer.average_percent,
+            self.pacing.average_percent,
             tuple(self._add_pace(attached, status) for status in runs),
             endings,
         )
@@ -358,71 +356,6 @@
         elapsed_s = boot_s() - self._clock_at
         return self._clock_ms + round((elapsed_s + remaining_s) * 1000)
 
-    # Pacing of filler tasks.
-
-    async def _adjust_pace(self, attached: Attachment, runs: tuple[RunStatus, ...]) -> None:
-        now = boot_s()
-        if now - self._paced_at < PACE_INTERVAL_S:
-            return
-        self._paced_at = now
-        views = [(status, attached.views.get((status.task, status.run))) for status in runs]
-        ratios = [
-            status.load / view.target_ms
-            for status, view in views
-            if view is not None and view.target_ms > 0
-        ]
-        fillers = sum(view is not None and view.filler for _, view in views)
-        worst = max(ratios, default=None)
-        percent = self.pacer.update(worst, fillers)
-        if fillers and worst is not None:
-            self._log_pace(now, percent, worst, len(ratios), fillers)
-        filler_views = [(status, view) for status, view in views if view and view.filler]
-        # The oldest run comes first; the order stays the same from one reading to the next.
-        filler_views.sort(key=lambda item: (item[1].started_at, item[0].task))
-        pressures = [view.pressure for _, view in filler_views]
-        for (status, view), pace in zip(
-            filler_views, speed_limits(percent, pressures), strict=True
-        ):
-            repeat = pace < 100 and now - view.pace_sent_at > PACE_REPEAT_S
-            if view.pace_percent != pace or repeat:
-                view.pace_percent, view.pace_sent_at = pace, now
-                await self._send_pace(attached, status.task, status.run, pace)
-
-    def _log_pace(self, now: float, percent: int, worst: float, serving: int, fillers: int) -> None:
-        """Log the current pace of filler tasks at intervals."""
-        if now - self._pace_logged_at < PACE_LOG_INTERVAL_S:
-            return
-        self._pace_logged_at = now
-        log.info(
-            "filler tasks paced",
-            extra={
-                "percent": percent,
-                "worst_tail_share": round(worst, 2),
-                "serving": serving,
-                "fillers": fillers,
-            },
-        )
-
-    async def _set_initial_pace(self, attached: Attachment, task: TaskId, run: int) -> None:
-        """Pace a filler task from its start if serving tasks run on the host."""
-        view = attached.views.get((task, run))
-        if view is not None and any(other.target_ms > 0 for other in attached.views.values()):
-            pressures = [other.pressure for other in attached.views.values() if other.filler]
-            pressures = [*pressures, view.pressure]
-            view.pace_percent, view.pace_sent_at = (
-                speed_limits(self.pacer.percent, pressures)[-1],
-                boot_s(),
-            )
-            await self._send_pace(attached, task, run, view.pace_percent)
-
-    async def _send_pace(self, attached: Attachment, task: TaskId, run: int, percent: int) -> None:
-        if self.executor is None:
-            return
-        try:
-            await self.executor.pace(task, run, percent, attached.fence)
-        except ExecutorError as exc:
-            log.info("pace not set: %s", exc, extra={"task": task, "percent": percent})
-
     # Orders.
 
     async def _start(self, attached: Attachment, order: RunOrder, valid_until: float) -> None:
@@ -436,8 +369,8 @@
             view = attached.views.get(name)
             if view is not None:
                 view.started_at = boot_s()
-            if order.filler:
-                await self._set_initial_pace(attached, order.task, order.run)
+            if order.filler and self.executor is not None:
+                self.pacing.start(attached, self.executor, order.task, order.run)
         else:
             attached.views.pop(name, None)
         log.info(
--- a/tests/features/hostagent.feature
+++ b/tests/features/hostagent.feature
@@ -71,3 +71,11 @@
     And the hostagent reports a recent filler pace below 40 percent
     When the hostagent's serving task has a tail latency of 40 of 100 ms for 8 seconds
     Then the hostagent's filler task is paced above 80 within 1 second
+
+  # Runs lapsed because unanswered pace calls delayed the renewal of their lease.
+  Scenario: hostagent renews the lease in time while its executor answers no pace calls
+    Given a hostagent whose scheduler grants
+    And its executor answers no pace calls
+    When a serving task and 12 filler tasks run at the hostagent, and its tail latency changes for 12 seconds
+    Then the hostagent reported at least once per 1.2 seconds
+    And no run of the hostagent has lapsed
--- a/tests/features/steps/hostagent_steps.py
+++ b/tests/features/steps/hostagent_steps.py
@@ -1,6 +1,7 @@
 """Steps for hostagent.feature."""
 
 from collections.abc import Awaitable, Callable
+from itertools import pairwise
 from typing import Any
 
 import anyio
@@ -36,7 +37,7 @@
     StartRuns,
 )
 from apricotpath.model import Role, Size, StartAnswer
-from apricotpath.workload import HostFacts
+from apricotpath.workload import HostFacts, RunResult
 from apricotpathd.attachment import ExecutorState
 from apricotpathd.hostagent import HostAgent
 from support.executormodel import Behaviour, ExecutorModel, ModelExecutor
@@ -62,6 +63,14 @@
         raise ExecutorUnavailable("no answer")
 
 
+class SilentPaceExecutor(ModelExecutor):
+    """Answers no pace calls."""
+
+    async def pace(self, task: TaskId, run: int, percent: int, fence: FenceToken) -> None:
+        await anyio.sleep(0.5)
+        raise ExecutorUnavailable("no answer")
+
+
 class SchedulerLink:
     """The agent's end of a link to the scheduler."""
 
@@ -113,6 +122,7 @@
         self.endings: set[int] = set()
         self.ack_after_s: float | None = None
         self.answers_every_second: bool | None = None
+        self.answers_pace = True
         self.actions: list[Callable[[], Awaitable[None]]] = []
 
     def run(self) -> None:
@@ -136,6 +146,8 @@
             group.cancel_scope.cancel()
 
     def _connect(self, facts: HostFacts) -> ModelExecutor:
+        if not self.answers_pace:
+            return SilentPaceExecutor(self.model, self.group)
         if self.answers_every_second is None:
             return ModelExecutor(self.model, self.group)
         executor = SilentStartExecutor(self.model, self.group, 7)
@@ -192,6 +204,11 @@
     context.case.ack_after_s = seconds
 
 
+@given("its executor answers no pace calls")
+def answers_no_pace(context: Any) -> None:
+    context.case.answers_pace = False
+
+
 @given("its executor answers no starts and carries them out up to 12 seconds later")
 def answers_every_second(context: Any) -> None:
     context.case.answers_every_second = False
@@ -468,3 +485,38 @@
         assert case.filler_percent < most, case.filler_percent
 
     check(context, act)
+
+
+@when(
+    "a serving task and {fillers:d} filler tasks run at the hostagent, "
+    "and its tail latency changes for {seconds:d} seconds"
+)
+def run_many_fillers(context: Any, fillers: int, seconds: int) -> None:
+    case: AgentCase = context.case
+
+    async def act() -> None:
+        await case.order(target_ms=100.0)
+        await anyio.sleep(0.1)
+        for number in range(fillers):
+            await case.order(TaskId(f"00000000000000b1.0.0.{number}"), filler=True)
+        await anyio.sleep(1.0)
+        for _ in range(seconds):
+            run = case.model.runs.get((TASK, 1))
+            if run is not None:
+                run.load = 150.0 if run.load < 100.0 else 40.0
+            await anyio.sleep(1.0)
+
+    case.actions.append(act)
+
+
+@then("the hostagent reported at least once per {limit_s:g} seconds")
+def reported_often(context: Any, limit_s: float) -> None:
+    case: AgentCase = context.case
+    case.run()
+    gaps = [after - before for (_, before), (_, after) in pairwise(case.renewals)]
+    assert gaps and max(gaps) <= limit_s, max(gaps)
+
+
+@then("no run of the hostagent has lapsed")
+def none_lapsed(context: Any) -> None:
+    assert not any(e.result is RunResult.LAPSED for e in context.case.model.endings)
