--- a/packages/core/src/apricotpath/runlog.py
+++ b/packages/core/src/apricotpath/runlog.py
@@ -6,6 +6,7 @@
 from collections.abc import Iterable, Sequence
 
 import anyio
+import anyio.lowlevel
 
 from apricotpath.errors import (
     FencedError,
@@ -27,6 +28,8 @@
 # Operations that a caller may add to one append.
 MAX_EXTRA = 20
 MAX_PART_BYTES = 512 << 10
+# Records handled at a time; other tasks of the process, such as lease renewals, run in between.
+RECORDS_PER_SLICE = 200
 # Log entries after which a snapshot is due.
 SNAPSHOT_EVERY = 1500
 
@@ -48,7 +51,7 @@
 
     async def load(self) -> list[RunRecord]:
         """Return all records, oldest first: those of the snapshot, then those of the log."""
-        records: list[RunRecord] = []
+        values: list[bytes] = []
         head = await self.store.get(f"{self._prefix}snapshot")
         after = 0
         if head is not None:
@@ -56,7 +59,7 @@
         parts = await self.store.range(f"{self._prefix}parts/")
         for item in parts.items:
             if item.key.startswith(self._part_prefix(after)):
-                records += self._decode(item.value)
+                values.append(item.value)
             else:
                 self._obsolete.append(item.key)
         entries = await self.store.range(f"{self._prefix}log/")
@@ -66,10 +69,10 @@
             if seq <= after:
                 self._obsolete.append(item.key)
                 continue
-            records += self._decode(item.value)
+            values.append(item.value)
             self._seq = seq
             self.entries += 1
-        return records
+        return await self._decode(values)
 
     async def append(
         self, records: Sequence[RunRecord], extra: Sequence[Put | Delete] = ()
@@ -154,5 +157,11 @@
                 log.error("store rejected the write, retrying: %s", exc)
             await anyio.sleep(next(delays))
 
-    def _decode(self, value: bytes) -> list[RunRecord]:
-        return [from_row(row) for row in json.loads(value)["records"]]
+    async def _decode(self, values: Iterable[bytes]) -> list[RunRecord]:
+        records: list[RunRecord] = []
+        for value in values:
+            for row in json.loads(value)["records"]:
+                records.append(from_row(row))
+                if len(records) % RECORDS_PER_SLICE == 0:
+                    await anyio.lowlevel.checkpoint()
+        return records
--- a/packages/daemon/src/apricotpathd/scheduler.py
+++ b/packages/daemon/src/apricotpathd/scheduler.py
@@ -2,11 +2,12 @@
 
 import logging
 from collections import Counter
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 from itertools import islice
 
 import anyio
+import anyio.lowlevel
 
 from apricotpath.boottime import boot_s
 from apricotpath.election import Term
@@ -24,7 +25,7 @@
     StartRuns,
 )
 from apricotpath.mirror import Mirror, WatchableStore
-from apricotpath.runlog import MAX_EXTRA, SNAPSHOT_EVERY, RunLog
+from apricotpath.runlog import MAX_EXTRA, RECORDS_PER_SLICE, SNAPSHOT_EVERY, RunLog
 from apricotpath.runmoves import place_copies
 from apricotpath.runplacement import (
     Placement,
@@ -126,7 +127,7 @@
             group.start_soon(self._mirror.run)
             records = await self._load()
             await self._mirror.loaded.wait()
-            self.table.apply_all(records, boot_s())
+            await self._apply_loaded(records)
             self._restore_hosts()
             self.table.changed.update(self.table.rows)
             self.loaded.set()
@@ -153,6 +154,13 @@
                 log.info("run log not read: %s", exc)
                 await anyio.sleep(LOAD_RETRY_S)
 
+    async def _apply_loaded(self, records: Sequence[RunRecord]) -> None:
+        """Apply the records of the run log, and let other tasks run in between."""
+        now = boot_s()
+        for start in range(0, len(records), RECORDS_PER_SLICE):
+            self.table.apply_all(records[start : start + RECORDS_PER_SLICE], now)
+            await anyio.lowlevel.checkpoint()
+
     def _restore_hosts(self) -> None:
         """Add hosts with assigned runs, whose leases an earlier scheduler may have renewed."""
         hold = self.cfg.run_hold_s
--- a/tests/features/runlog.feature
+++ b/tests/features/runlog.feature
@@ -28,6 +28,12 @@
       | before                                 |
       | before a late write is carried out and |
 
+  # Guards against a takeover that renews no lease and sends no heartbeat until it has loaded.
+  Scenario: runlog lets other tasks run while it loads
+    Given a runlog of the first scheduler
+    When 40 entries of 50 records each are appended to the runlog
+    Then another task runs at least 9 times while the next scheduler loads the runlog
+
   Scenario: runlog keeps all records over snapshots, and removes what they replace
     Given a runlog of the first scheduler
     When 40 records are appended to the runlog with a snapshot after every 15
--- a/tests/features/steps/runlog_steps.py
+++ b/tests/features/steps/runlog_steps.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 import anyio
+import anyio.lowlevel
 from behave import given, then, when
 
 from apricotpath.errors import FencedError
@@ -23,6 +24,13 @@
     return Ended(TaskKey(JobId("a"), 0, 0, number), 1, RunResult.DONE)
 
 
+class InstantStore(MemoryStore):
+    """Answers without a delay, since virtual time stands still while any task can run."""
+
+    async def _simulate_call(self) -> None:
+        await anyio.lowlevel.checkpoint()
+
+
 class LogCase:
     """One store and the run logs of successive schedulers."""
 
@@ -122,6 +130,40 @@
     case.actions.append(act)
 
 
+@when("{entries:d} entries of {each:d} records each are appended to the runlog")
+def append_many(context: Any, entries: int, each: int) -> None:
+    case: LogCase = context.log
+
+    async def act() -> None:
+        for number in range(1, entries + 1):
+            await case.log.append([record(each * number + index) for index in range(each)])
+
+    case.actions.append(act)
+
+
+@then("another task runs at least {least:d} times while the next scheduler loads the runlog")
+def runs_meanwhile(context: Any, least: int) -> None:
+    case: LogCase = context.log
+    runs = 0
+
+    async def count_runs(scope: anyio.CancelScope) -> None:
+        nonlocal runs
+        while not scope.cancel_called:
+            runs += 1
+            await anyio.lowlevel.checkpoint()
+
+    async def act() -> None:
+        log = RunLog(InstantStore(case.shared), PREFIX, EPOCH_KEY, 0)
+        async with anyio.create_task_group() as group:
+            group.start_soon(count_runs, group.cancel_scope)
+            await log.load()
+            group.cancel_scope.cancel()
+        assert runs >= least, runs
+
+    case.actions.append(act)
+    case.run()
+
+
 @then("the next scheduler loads the runlog's records once and in order")
 def loads(context: Any) -> None:
     case: LogCase = context.log
