--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -9,7 +9,7 @@
 
 from apricotpath.boottime import boot_s
 from apricotpath.config import Address
-from apricotpath.entryrecords import EntryRecord, LeaderRecord
+from apricotpath.entryrecords import EntryRecord, LeaderRecord, RecordReader
 from apricotpath.errors import StoreError, StoreLeaseEnded, StoreOutcomeUnknown
 from apricotpath.ids import Epoch, IncarnationId, ProcessId
 from apricotpath.mirror import Mirror, WatchableStore
@@ -83,6 +83,8 @@
         root = f"{cfg.prefix}ctl/"
         self._leader_key, self._epoch_key = f"{root}leader", f"{root}epoch"
         self._entry_prefix = f"{root}entry/"
+        self.entry_records = RecordReader(EntryRecord.parse)
+        self.leader_records = RecordReader(LeaderRecord.parse)
         self.mirror = Mirror(store, root, self._on_key_change)
 
     @property
@@ -96,7 +98,7 @@
         for key, item in self.mirror.items.items():
             if key.startswith(self._entry_prefix) and key != self.presence_key:
                 name = ProcessId(key.removeprefix(self._entry_prefix))
-                record = EntryRecord.parse(item.value)
+                record = self.entry_records.read(item)
                 if record is not None:
                     found[name] = record.address
         return found
@@ -128,7 +130,7 @@
 
     def _on_key_change(self, key: str, value: bytes | None, revision: int) -> None:
         if key == self._leader_key:
-            record = LeaderRecord.parse(value)
+            record = self.leader_records.read(self.mirror.items.get(key))
             if record is not None and (self.leader is None or record.epoch >= self.leader.epoch):
                 self.leader = record
                 log.info("leader seen", extra={"entry": record.entry, "epoch": record.epoch})
@@ -200,12 +202,11 @@
             record.cores > self.cfg.cores
             for key, item in self.mirror.items.items()
             if key.startswith(self._entry_prefix) and key != self.presence_key
-            if (record := EntryRecord.parse(item.value)) is not None
+            if (record := self.entry_records.read(item)) is not None
         )
 
     def _is_vacant(self) -> bool:
-        item = self.mirror.items.get(self._leader_key)
-        record = LeaderRecord.parse(item.value if item else None)
+        record = self.leader_records.read(self.mirror.items.get(self._leader_key))
         # A record that names this entry while it has no term was written by an earlier
         # incarnation, or by an attempt whose answer was lost.
         return record is None or (record.entry == self._entry and self.term is None)
@@ -217,7 +218,7 @@
         """
         leader = self.mirror.items.get(self._leader_key)
         epoch_item = self.mirror.items.get(self._epoch_key)
-        previous = LeaderRecord.parse(epoch_item.value if epoch_item else None)
+        previous = self.leader_records.read(epoch_item)
         epoch = Epoch(previous.epoch + 1 if previous else 1)
         compares = [
             Compare(self._leader_key, leader.mod_revision if leader else 0),
--- a/packages/core/src/apricotpath/entryrecords.py
+++ b/packages/core/src/apricotpath/entryrecords.py
@@ -1,17 +1,27 @@
 """Records of entries in the store: the registration of an entry and the elected leader."""
 
-import json
 import logging
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Self
+from typing import Any, Generic, Self, TypeVar
 
 from apricotpath.config import Address
+from apricotpath.errors import InputError
 from apricotpath.ids import Epoch, IncarnationId, ProcessId
+from apricotpath.jsonfields import parse_object, read_address, read_int, read_number, read_str
 from apricotpath.jsontext import json_bytes
-from apricotpath.store import new_token
+from apricotpath.store import KeyValue, new_token
 
 log = logging.getLogger(__name__)
 
+MAX_RECORD_BYTES = 4096
+# Fencing tokens are epochs shifted by 24 bits, and must fit a signed integer of 64 bits.
+MAX_EPOCH = 1 << 38
+# Keys whose newest record is remembered by a reader.
+MAX_REMEMBERED = 10_000
+
+Record = TypeVar("Record")
+
 
 @dataclass(frozen=True, slots=True)
 class EntryRecord:
@@ -25,18 +35,14 @@
     incarnation: IncarnationId
 
     @classmethod
-    def parse(cls, value: bytes) -> Self | None:
-        """Return the record of a stored value, or None if the value is malformed."""
-        try:
-            content = json.loads(value)
-            return cls(
-                Address(str(content["host"]), int(content["port"])),
-                float(content.get("cores", 0.0)),
-                IncarnationId(content.get("incarnation", "")),
-            )
-        except (ValueError, KeyError, TypeError, AttributeError):
-            log.warning("entry registration is malformed")
-            return None
+    def parse(cls, value: bytes) -> Self:
+        """Return the record of a stored value, or raise InputError."""
+        content = _parse_record(value)
+        return cls(
+            read_address(content, "host", "port"),
+            read_number(content, "cores", 0.0, low=0),
+            IncarnationId(read_str(content, "incarnation", "")),
+        )
 
     def encode(self) -> bytes:
         """Return the stored form, with a unique token of this write."""
@@ -60,20 +66,14 @@
     incarnation: IncarnationId
 
     @classmethod
-    def parse(cls, value: bytes | None) -> Self | None:
-        """Return the record of a stored value, or None if it is missing or malformed."""
-        if value is None:
-            return None
-        try:
-            content = json.loads(value)
-            return cls(
-                Epoch(int(content["epoch"])),
-                ProcessId(content["entry"]),
-                IncarnationId(content["incarnation"]),
-            )
-        except (ValueError, KeyError, TypeError):
-            log.warning("leader record is malformed")
-            return None
+    def parse(cls, value: bytes) -> Self:
+        """Return the record of a stored value, or raise InputError."""
+        content = _parse_record(value)
+        return cls(
+            Epoch(read_int(content, "epoch", low=1, high=MAX_EPOCH)),
+            ProcessId(read_str(content, "entry")),
+            IncarnationId(read_str(content, "incarnation")),
+        )
 
     def encode(self) -> bytes:
         """Return the stored form, with a unique token of this write."""
@@ -85,3 +85,47 @@
                 "token": new_token(),
             }
         )
+
+
+def _parse_record(value: bytes) -> dict[str, Any]:
+    if len(value) > MAX_RECORD_BYTES:
+        raise InputError(f"the record is longer than {MAX_RECORD_BYTES} bytes")
+    return parse_object(value, "the record")
+
+
+class RecordReader(Generic[Record]):
+    """Reads the records of one kind from items of the store.
+
+    `parse` raises InputError for a malformed value. Such a value counts as missing, and is
+    logged once per revision of its key. `malformed` counts these values.
+    """
+
+    def __init__(self, parse: Callable[[bytes], Record]) -> None:
+        self.malformed = 0
+        self._parse = parse
+        self._newest: dict[str, tuple[int, Record | None]] = {}
+
+    def read(self, item: KeyValue | None) -> Record | None:
+        """Return the record of an item, or None if it is missing or malformed."""
+        if item is None:
+            return None
+        newest = self._newest.get(item.key)
+        if newest is not None and newest[0] == item.mod_revision:
+            return newest[1]
+        record = self._parse_item(item)
+        self._newest[item.key] = (item.mod_revision, record)
+        if len(self._newest) > MAX_REMEMBERED:
+            del self._newest[next(iter(self._newest))]
+        return record
+
+    def _parse_item(self, item: KeyValue) -> Record | None:
+        try:
+            return self._parse(item.value)
+        except InputError as exc:
+            self.malformed += 1
+            log.warning(
+                "malformed record ignored: %s",
+                exc,
+                extra={"key": item.key, "rev": item.mod_revision, "malformed": self.malformed},
+            )
+            return None
--- /dev/null
+++ b/tests/features/oddvalues.feature
@@ -0,0 +1,17 @@
+Feature: oddvalues
+
+  Guards against a process that ends, or stops following the others, when
+  another writer leaves a malformed value where a record of ours is expected.
+
+  # A registration that was nested too deeply, or had a port out of range, ended each process.
+  Scenario: oddvalues names no peer by a malformed registration, and the others are followed
+    Given an oddvalues world of 2 entries and 2 agents
+    And each malformed registration is stored in the oddvalues world
+    Then the oddvalues world serves a job, and another one after its scheduler is killed
+    And the entries of the oddvalues world know each other and nobody else
+    And each process of the oddvalues world has logged each malformed record once
+
+  # A malformed leader ended each process; without a leader of their own, no job is served.
+  Scenario: oddvalues elects a scheduler although the leader's record is malformed
+    Given an oddvalues world of 2 entries and 2 agents
+    Then the oddvalues world serves a job after each malformed value at the leader's key
--- /dev/null
+++ b/tests/features/steps/oddvalues_steps.py
@@ -0,0 +1,152 @@
+"""Steps for oddvalues.feature; the world runs in virtual time at the first check."""
+
+import logging
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import anyio
+from behave import given, then
+
+from apricotpath.model import Size
+from apricotpath.store import Put
+from apricotpath.workload import Step
+from support.jobworld import PREFIX, EntryNode, JobWorld, run_virtual
+from support.oddvalues import ODD_ENTRIES, ODD_LEADERS
+
+CORE = Size(1000, 100, 0)
+HOST = Size(8000, 8000, 0)
+JOB_LIMIT_S = 20.0
+LEADER_KEY = f"{PREFIX}ctl/leader"
+
+
+class RecordCounter(logging.Handler):
+    """Counts the log lines about malformed records by process-independent key."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.counts: dict[str, int] = {}
+
+    def emit(self, record: logging.LogRecord) -> None:
+        if "malformed" in record.getMessage():
+            key = str(getattr(record, "key", "unnamed"))
+            self.counts[key] = self.counts.get(key, 0) + 1
+
+
+class OddCase:
+    """Actions of a scenario on a world with malformed values; `value` names the newest one."""
+
+    def __init__(self, entries: int, agents: int) -> None:
+        self.entries, self.agents = entries, agents
+        self.before: dict[str, bytes] = {}
+        self.value = "none"
+        self.epochs: list[int] = []
+        self.logged = RecordCounter()
+
+    def run(self, act: Callable[["OddCase"], Awaitable[None]]) -> None:
+        async def main() -> None:
+            async with anyio.create_task_group() as group:
+                world = self.world = JobWorld(group)
+                for key, value in self.before.items():
+                    world.shared.apply([], [Put(key, value)])
+                for number in range(self.entries):
+                    world.add_entry(f"entry{number}")
+                for number in range(self.agents):
+                    world.add_agent(f"host{number}", HOST)
+                await world.wait_until_attached()
+                await act(self)
+                group.cancel_scope.cancel()
+
+        logger = logging.getLogger("apricotpath")
+        logger.addHandler(self.logged)
+        try:
+            run_virtual(main)
+        except BaseException as exc:
+            raise AssertionError(f"after the value {self.value!r}: {exc!r}") from exc
+        finally:
+            logger.removeHandler(self.logged)
+
+    async def serve_job(self) -> None:
+        """Serve a job to its end, and note the epoch that served it."""
+        world = self.world
+        await world.wait_until_attached()
+        live = [name for name, node in world.entries.items() if not node.scope.cancel_called]
+        job = await world.submit(Step(2, CORE, 1.0), at=live[0])
+        state = await world.wait_for_end(job, JOB_LIMIT_S, at=live[0])
+        assert state == "completed", state
+        assert not world.violations(), world.violations()
+        leader = world.leader()
+        assert leader is not None and leader.jobs.scheduler is not None
+        self.epochs.append(leader.jobs.scheduler.epoch)
+
+    async def kill_leader(self) -> EntryNode:
+        leader = self.world.leader()
+        assert leader is not None
+        await self.world.kill(leader)
+        return leader
+
+    def write(self, key: str, label: str, value: bytes) -> None:
+        """Write a value over the one of a key, and keep its lease."""
+        self.value = label
+        item = self.world.shared.items.get(key)
+        lease = item.lease if item is not None and item.lease in self.world.shared.leases else None
+        self.world.shared.apply([], [Put(key, value, lease or None)])
+
+
+def case_of(context: Any) -> OddCase:
+    found: OddCase = context.odd_case
+    return found
+
+
+@given("an oddvalues world of {entries:d} entries and {agents:d} agents")
+def create(context: Any, entries: int, agents: int) -> None:
+    context.odd_case = OddCase(entries, agents)
+
+
+@given("each malformed registration is stored in the oddvalues world")
+def store_registrations(context: Any) -> None:
+    case = case_of(context)
+    for number, value in enumerate(ODD_ENTRIES.values()):
+        case.before[f"{PREFIX}ctl/entry/odd{number}"] = value
+    case.value = "all registrations"
+
+
+@then("the oddvalues world serves a job, and another one after its scheduler is killed")
+def serve_two(context: Any) -> None:
+    case = case_of(context)
+
+    async def act(case: OddCase) -> None:
+        await case.serve_job()
+        await anyio.sleep(2.0)
+        await case.kill_leader()
+        await case.serve_job()
+        assert case.epochs[0] < case.epochs[1], case.epochs
+
+    case.run(act)
+
+
+@then("the entries of the oddvalues world know each other and nobody else")
+def check_peers(context: Any) -> None:
+    case = case_of(context)
+    for node in case.world.entries.values():
+        peers = set(node.jobs.election.peers())
+        assert peers <= set(case.world.entries), peers
+
+
+@then("each process of the oddvalues world has logged each malformed record once")
+def check_logged(context: Any) -> None:
+    case = case_of(context)
+    assert case.logged.counts == dict.fromkeys(case.before, case.entries), case.logged.counts
+
+
+@then("the oddvalues world serves a job after each malformed value at the {which}'s key")
+def serve_after_each(context: Any, which: str) -> None:
+    case = case_of(context)
+    key = {"leader": LEADER_KEY}[which]
+
+    async def act(case: OddCase) -> None:
+        for label, value in ODD_LEADERS.items():
+            case.write(key, label, value)
+            await anyio.sleep(0.5)
+            await case.serve_job()
+
+    case.run(act)
--- a/tests/support/jobworld.py
+++ b/tests/support/jobworld.py
@@ -39,7 +39,8 @@
 QUEUE = QueueId("bread")
 PREFIX = "test/"
 LINK_DELAY_S = 0.001
-PORT = 1
+# Entries of the world register with it, but links are opened without an address.
+ADDRESS = Address("127.0.0.1", 1)
 
 
 def run_virtual(main: Callable[[], Awaitable[Any]], seed: int = 0) -> Any:
@@ -172,7 +173,7 @@
             store,
             self.cfg,
             replace(self.election, cores=cores),
-            Address(name, PORT),
+            ADDRESS,
             job_service,
             lambda: SchedulerRules(dict(self.queues), frozenset(self.out)),
             dialler,
--- /dev/null
+++ b/tests/support/oddvalues.py
@@ -0,0 +1,84 @@
+"""Values that another writer may leave where processes expect a record of their own."""
+
+DEEP = 100_000
+LONG = 1 << 20
+
+# Raw JSON, since some of these values cannot be encoded from Python objects.
+NOT_A_TEXT = {
+    "null": "null",
+    "true": "true",
+    "a number": "7",
+    "a list": "[]",
+    "an object": "{}",
+    "a lone surrogate": '"\\ud800"',
+}
+NOT_A_NUMBER = {
+    "null": "null",
+    "true": "true",
+    "a text": '"7"',
+    "a list": "[]",
+    "an object": "{}",
+    "1e400": "1e400",
+    "-1e400": "-1e400",
+    "NaN": "NaN",
+    "Infinity": "Infinity",
+    "10**400": "1" + 400 * "0",
+    "10**5000": "1" + 5000 * "0",
+    "2**63": str(2**63),
+    "nested 900 deep": 900 * "[" + 900 * "]",
+    "nested 100000 deep": DEEP * "[" + DEEP * "]",
+}
+NOT_A_COUNT = NOT_A_NUMBER | {"-3": "-3", "1.5": "1.5"}
+NOT_A_PORT = NOT_A_COUNT | {"0": "0", "65536": "65536", "99999999": "99999999"}
+NOT_AN_ADDRESS = NOT_A_TEXT | {
+    "an empty text": '""',
+    "a host name": '"front-1.example"',
+    "a long text": '"' + LONG * "a" + '"',
+    "a text with a zero": '"127.0.0.1\\u0000"',
+}
+NOT_A_RECORD = {
+    "nothing": b"",
+    "invalid UTF-8": b'{"host": "\xff\xfe"}',
+    "half a record": b'{"host": "127.0',
+    "a list": b"[1]",
+    "a number": b"3",
+    "null": b"null",
+    "a text": b'"text"',
+    "no fields": b"{}",
+    "1 MB of text": b'"' + LONG * b"a" + b'"',
+    "lists nested 100000 deep": DEEP * b"[",
+    "objects nested 100000 deep": DEEP * b'{"a":',
+}
+
+
+def raw_object(fields: dict[str, str]) -> bytes:
+    """Return a JSON object of fields with raw JSON values."""
+    return ("{" + ",".join(f'"{name}":{value}' for name, value in fields.items()) + "}").encode()
+
+
+def odd_records(valid: dict[str, str], odd: dict[str, dict[str, str]]) -> dict[str, bytes]:
+    """Return malformed values by description.
+
+    `valid` holds the fields of a valid record as raw JSON. In each value either the whole
+    record is malformed, or one field is missing or has a value of `odd` in its place.
+    """
+    found = dict(NOT_A_RECORD)
+    for name, values in odd.items():
+        rest = {key: value for key, value in valid.items() if key != name}
+        found[f"no {name}"] = raw_object(rest)
+        for label, value in values.items():
+            found[f"{name}: {label}"] = raw_object(rest | {name: value})
+    return found
+
+
+ODD_ENTRIES = odd_records(
+    {"host": '"127.0.0.1"', "port": "1", "cores": "4.0", "incarnation": '"x"'},
+    {"host": NOT_AN_ADDRESS, "port": NOT_A_PORT},
+) | {
+    f"cores: {label}": raw_object({"host": '"127.0.0.1"', "port": "1", "cores": value})
+    for label, value in NOT_A_NUMBER.items()
+}
+ODD_LEADERS = odd_records(
+    {"epoch": "5", "entry": '"x"', "incarnation": '"y"'},
+    {"epoch": NOT_A_COUNT | {"0": "0"}, "entry": NOT_A_TEXT, "incarnation": NOT_A_TEXT},
+)
