--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -9,7 +9,7 @@
 
 from apricotpath.boottime import boot_s
 from apricotpath.config import Address
-from apricotpath.entryrecords import EntryRecord, LeaderRecord, RecordReader
+from apricotpath.entryrecords import EntryRecord, LeaderRecord, RecordReader, next_epoch
 from apricotpath.errors import StoreError, StoreLeaseEnded, StoreOutcomeUnknown
 from apricotpath.ids import Epoch, IncarnationId, ProcessId
 from apricotpath.mirror import Mirror, WatchableStore
@@ -219,7 +219,7 @@
         leader = self.mirror.items.get(self._leader_key)
         epoch_item = self.mirror.items.get(self._epoch_key)
         previous = self.leader_records.read(epoch_item)
-        epoch = Epoch(previous.epoch + 1 if previous else 1)
+        epoch = next_epoch(epoch_item, previous, self.leader)
         compares = [
             Compare(self._leader_key, leader.mod_revision if leader else 0),
             Compare(self._epoch_key, epoch_item.mod_revision if epoch_item else 0),
@@ -241,7 +241,10 @@
             return None
         if not revision:
             return None
-        same_process = previous is None or previous.entry == self._entry
+        # A malformed record does not tell who has led before.
+        same_process = epoch_item is None or (
+            previous is not None and previous.entry == self._entry
+        )
         log.info("scheduler elected", extra={"epoch": epoch, "succeeds_itself": same_process})
         self.leader = LeaderRecord(epoch, self._entry, self._incarnation)
         return Term(epoch, self._epoch_key, revision, same_process)
--- a/packages/core/src/apricotpath/entryrecords.py
+++ b/packages/core/src/apricotpath/entryrecords.py
@@ -129,3 +129,18 @@
                 extra={"key": item.key, "rev": item.mod_revision, "malformed": self.malformed},
             )
             return None
+
+
+def next_epoch(
+    item: KeyValue | None, stored: LeaderRecord | None, seen: LeaderRecord | None
+) -> Epoch:
+    """Return an epoch that is higher than all earlier ones.
+
+    `stored` is the record in the item of the epoch key, and `seen` the newest leader known
+    otherwise. A malformed item counts with its revision: each epoch is written by a change of
+    its own, so that none exceeds the revision of the key at that time.
+    """
+    known = [record.epoch for record in (stored, seen) if record is not None]
+    if item is not None and stored is None:
+        known.append(Epoch(item.mod_revision))
+    return Epoch(max(known, default=0) + 1)
--- a/tests/features/oddvalues.feature
+++ b/tests/features/oddvalues.feature
@@ -15,3 +15,16 @@
   Scenario: oddvalues elects a scheduler although the leader's record is malformed
     Given an oddvalues world of 2 entries and 2 agents
     Then the oddvalues world serves a job after each malformed value at the leader's key
+
+  # The scheduler of the epoch after a malformed one began at 1 again, and no agent followed it.
+  Scenario: oddvalues raises the epoch although its record is malformed
+    Given an oddvalues world of 2 entries and 2 agents
+    Then the oddvalues world serves a job after each malformed value at the epoch's key
+    And the epochs of the oddvalues world only rose
+
+  # Agents keep the epoch that they have seen, and entries that start know none.
+  Scenario: oddvalues raises the epoch also if all entries have restarted beside a malformed one
+    Given an oddvalues world of 2 entries and 2 agents
+    When all entries of the oddvalues world are replaced beside a malformed epoch
+    Then the oddvalues world serves a job, and another one after its scheduler is killed
+    And the epochs of the oddvalues world only rose
--- a/tests/features/steps/oddvalues_steps.py
+++ b/tests/features/steps/oddvalues_steps.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import anyio
-from behave import given, then
+from behave import given, then, when
 
 from apricotpath.model import Size
 from apricotpath.store import Put
@@ -16,7 +16,7 @@
 CORE = Size(1000, 100, 0)
 HOST = Size(8000, 8000, 0)
 JOB_LIMIT_S = 20.0
-LEADER_KEY = f"{PREFIX}ctl/leader"
+LEADER_KEY, EPOCH_KEY = f"{PREFIX}ctl/leader", f"{PREFIX}ctl/epoch"
 
 
 class RecordCounter(logging.Handler):
@@ -121,7 +121,7 @@
         await case.serve_job()
         assert case.epochs[0] < case.epochs[1], case.epochs
 
-    case.run(act)
+    case.run(getattr(context, "odd_act", act))
 
 
 @then("the entries of the oddvalues world know each other and nobody else")
@@ -141,7 +141,7 @@
 @then("the oddvalues world serves a job after each malformed value at the {which}'s key")
 def serve_after_each(context: Any, which: str) -> None:
     case = case_of(context)
-    key = {"leader": LEADER_KEY}[which]
+    key = {"leader": LEADER_KEY, "epoch": EPOCH_KEY}[which]
 
     async def act(case: OddCase) -> None:
         for label, value in ODD_LEADERS.items():
@@ -150,3 +150,30 @@
             await case.serve_job()
 
     case.run(act)
+
+
+@when("all entries of the oddvalues world are replaced beside a malformed epoch")
+def replace_entries(context: Any) -> None:
+    async def act(case: OddCase) -> None:
+        for _ in range(3):
+            await case.serve_job()
+            await case.kill_leader()
+            case.world.add_entry(f"entry{len(case.world.entries)}")
+        await case.serve_job()
+        for node in case.world.entries.values():
+            await case.world.kill(node)
+        case.write(EPOCH_KEY, "nested", 100_000 * b"[")
+        for number in range(2):
+            case.world.add_entry(f"late{number}")
+        await case.serve_job()
+        await case.kill_leader()
+        await case.serve_job()
+
+    context.odd_act = act
+
+
+@then("the epochs of the oddvalues world only rose")
+def check_epochs(context: Any) -> None:
+    epochs = case_of(context).epochs
+    assert epochs == sorted(epochs), epochs
+    assert epochs[0] < epochs[-1], epochs
