--- a/packages/core/src/apricotpath/config.py
+++ b/packages/core/src/apricotpath/config.py
@@ -23,6 +23,8 @@
 
 T = TypeVar("T")
 
+MAX_PORT = 65535
+
 
 @dataclass(frozen=True, slots=True)
 class Address:
@@ -297,6 +299,6 @@
         raise SettingsError(f"{where}: must be a whole number")
     if not 0 <= value <= MAX_NUMBER:
         raise SettingsError(f"{where}: {value} is outside 0 to {MAX_NUMBER}")
-    if where.endswith(".port") and value > 65535:
+    if where.endswith(".port") and value > MAX_PORT:
         raise SettingsError(f"{where}: {value} is not a TCP port")
     return hint(value)
--- a/packages/core/src/apricotpath/jsonfields.py
+++ b/packages/core/src/apricotpath/jsonfields.py
@@ -8,13 +8,12 @@
 from ipaddress import ip_address
 from typing import Any
 
-from apricotpath.config import Address
+from apricotpath.config import MAX_PORT, Address
 from apricotpath.errors import InputError
 
 MISSING = object()
 # Numbers that fit a signed integer of 64 bits, as our messages need.
 INT_LIMIT = 2**63
-MAX_PORT = 65535
 
 
 def parse_json(data: bytes | str, label: str) -> Any:
--- a/packages/core/src/apricotpath/link.py
+++ b/packages/core/src/apricotpath/link.py
@@ -19,7 +19,7 @@
     encode,
     frame_length,
 )
-from apricotpath.config import Address, LinkSettings, TlsSettings
+from apricotpath.config import MAX_PORT, Address, LinkSettings, TlsSettings
 from apricotpath.errors import CodecError, LinkError, PeerError, SettingsError
 from apricotpath.messages import Failure, Heartbeat, Hello, Message
 
@@ -353,6 +353,8 @@
 
     Certificate files are read for each connection, so rotation needs no restart.
     """
+    if not 0 < address.port <= MAX_PORT:
+        raise LinkError(f"{address.port} is not a TCP port")
     try:
         with anyio.fail_after(cfg.dial_timeout_s):
             stream = await anyio.connect_tcp(address.host, address.port)
@@ -363,6 +365,8 @@
             )
     except (OSError, TimeoutError, ssl.SSLError, anyio.BrokenResourceError) as exc:
         raise LinkError(f"cannot reach {address.host}:{address.port}: {exc}") from exc
+    except UnicodeError as exc:
+        raise LinkError(f"{address.host!r} is not the name of a host") from exc
 
 
 async def dial_forever(
--- a/tests/features/oddvalues.feature
+++ b/tests/features/oddvalues.feature
@@ -28,3 +28,16 @@
     When all entries of the oddvalues world are replaced beside a malformed epoch
     Then the oddvalues world serves a job, and another one after its scheduler is killed
     And the epochs of the oddvalues world only rose
+
+  # A dialling loop ended its process at an address that could not be passed to a socket.
+  Scenario Outline: oddvalues goes on dialling when the peer's <part> is <value>
+    When an oddvalues peer is dialled for a second at an address whose <part> is <value>
+    Then the oddvalues dialling has not ended
+
+    Examples:
+      | part | value            |
+      | port | -3               |
+      | port | 99999999         |
+      | host | a lone surrogate |
+      | host | a long text      |
+      | host | a text with zero |
--- a/tests/features/steps/oddvalues_steps.py
+++ b/tests/features/steps/oddvalues_steps.py
@@ -1,15 +1,20 @@
 """Steps for oddvalues.feature; the world runs in virtual time at the first check."""
 
 import logging
+import random
 from collections.abc import Awaitable, Callable
 from typing import Any
 
 import anyio
 from behave import given, then, when
 
-from apricotpath.model import Size
+from apricotpath.config import Address, LinkSettings
+from apricotpath.ids import DataCentreId, ProcessId
+from apricotpath.link import dial_forever
+from apricotpath.model import Role, Size
 from apricotpath.store import Put
 from apricotpath.workload import Step
+from apricotpathd.process import Process
 from support.jobworld import PREFIX, EntryNode, JobWorld, run_virtual
 from support.oddvalues import ODD_ENTRIES, ODD_LEADERS
 
@@ -177,3 +182,28 @@
     epochs = case_of(context).epochs
     assert epochs == sorted(epochs), epochs
     assert epochs[0] < epochs[-1], epochs
+
+
+ODD_HOSTS = {
+    "a lone surrogate": "\ud800",
+    "a long text": 300 * "a",
+    "a text with zero": "127.0.0.1\0",
+}
+
+
+@when("an oddvalues peer is dialled for a second at an address whose {part} is {value}")
+def dial(context: Any, part: str, value: str) -> None:
+    address = Address("127.0.0.1", int(value)) if part == "port" else Address(ODD_HOSTS[value], 1)
+    process = Process(Role.ENTRY, ProcessId("front-1"), DataCentreId("z1"))
+
+    async def main() -> None:
+        with anyio.move_on_after(1.0) as scope:
+            await dial_forever(address, process.hello, LinkSettings(), process, random.Random(1))
+        context.dialling = scope.cancelled_caught
+
+    anyio.run(main, backend="trio")
+
+
+@then("the oddvalues dialling has not ended")
+def check_dialling(context: Any) -> None:
+    assert context.dialling
