--- a/packages/core/src/apricotpath/jobcodec.py
+++ b/packages/core/src/apricotpath/jobcodec.py
@@ -1,14 +1,27 @@
 """Stored form of jobs: JSON without fields that have their default value."""
 
-import json
 from dataclasses import MISSING, dataclass, fields
 from typing import Any
 
 from apricotpath.errors import InputError
 from apricotpath.ids import JobId, QueueId, RackId
+from apricotpath.jsonfields import (
+    parse_object,
+    read_bool,
+    read_int,
+    read_list,
+    read_number,
+    read_str,
+    to_int,
+    to_number,
+    to_row,
+)
 from apricotpath.jsontext import compact_json
 from apricotpath.model import Size
-from apricotpath.workload import Job, Progress, Schedule, Step
+from apricotpath.workload import Job, Progress, Schedule, Step, check_job
+
+SIZE_VALUES = 3
+SCHEDULE_VALUES = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,17 +54,34 @@
 
 def parse_job(text: str | bytes) -> StoredJob:
     """Parse the stored form of a job, or raise InputError."""
+    content = parse_object(text, "a stored job")
+    job_id, queue = JobId(read_str(content, "job")), QueueId(read_str(content, "queue"))
+    if "progress" in content:
+        return StoredJob(Job(job_id, queue, "", ()), _progress(read_str(content, "progress")))
+    job = Job(
+        job_id,
+        queue,
+        read_str(content, "command"),
+        tuple(_step(row) for row in read_list(content, "steps")),
+        _schedule(content) if "schedule" in content else None,
+        read_number(content, "accepted"),
+    )
+    check_job(job)
+    return StoredJob(job)
+
+
+def _progress(text: str) -> Progress:
     try:
-        content = json.loads(text)
-        job_id, queue = JobId(content["job"]), QueueId(content["queue"])
-        if "progress" in content:
-            return StoredJob(Job(job_id, queue, "", ()), Progress(content["progress"]))
-        steps = tuple(_step(row) for row in content["steps"])
-        schedule = Schedule(*content["schedule"]) if "schedule" in content else None
-        command, accepted = content["command"], content["accepted"]
-        return StoredJob(Job(job_id, queue, command, steps, schedule, accepted))
-    except (ValueError, KeyError, TypeError, AttributeError) as exc:
-        raise InputError(f"a stored job is malformed: {exc}") from exc
+        return Progress(text)
+    except ValueError as exc:
+        raise InputError("progress is not that of a job", path="progress") from exc
+
+
+def _schedule(content: dict[str, Any]) -> Schedule:
+    times, first_s, interval_s = to_row(content["schedule"], "schedule", SCHEDULE_VALUES)
+    return Schedule(
+        to_int(times, "schedule"), to_number(first_s, "schedule"), to_number(interval_s, "schedule")
+    )
 
 
 def _step_row(step: Step) -> dict[str, Any]:
@@ -64,9 +94,23 @@
     return row
 
 
-def _step(row: dict[str, Any]) -> Step:
-    values = dict(row)
-    values["size"] = Size(*values["size"])
-    values["after"] = tuple(values.get("after", ()))
-    values["near"] = RackId(values.get("near", ""))
-    return Step(**values)
+def _step(row: Any) -> Step:
+    size = to_row(read_list(row, "size"), "size", SIZE_VALUES)
+    return Step(
+        count=read_int(row, "count"),
+        size=Size(*(to_int(value, "size") for value in size[:SIZE_VALUES])),
+        estimate_s=read_number(row, "estimate_s", 0.0),
+        after=tuple(to_int(number, "after") for number in read_list(row, "after", [])),
+        checkpoints=read_bool(row, "checkpoints", False),
+        gang=read_bool(row, "gang", False),
+        same_rack=read_bool(row, "same_rack", False),
+        label=read_str(row, "label", ""),
+        near=RackId(read_str(row, "near", "")),
+        max_per_host=read_int(row, "max_per_host", 0),
+        speculative=read_bool(row, "speculative", False),
+        long_running=read_bool(row, "long_running", False),
+        filler=read_bool(row, "filler", False),
+        image=read_str(row, "image", ""),
+        target_ms=read_number(row, "target_ms", 0.0),
+        max_unavailable=read_int(row, "max_unavailable") if "max_unavailable" in row else None,
+    )
--- a/packages/core/src/apricotpath/workload.py
+++ b/packages/core/src/apricotpath/workload.py
@@ -12,6 +12,8 @@
 NO_SIZE = Size()
 MAX_STEPS = 64
 MAX_TASKS_PER_STEP = 10_000
+# Tasks of all steps and occurrences of a job, which the scheduler keeps in memory.
+MAX_TASKS_PER_JOB = 1_000_000
 
 
 class Progress(Enum):
@@ -187,3 +189,5 @@
             raise InputError("a step waits only for earlier steps", path=step_path)
     if job.schedule is not None and job.schedule.times < 1:
         raise InputError("a schedule has at least one occurrence", path="schedule")
+    if job.occurrences * sum(step.count for step in job.steps) > MAX_TASKS_PER_JOB:
+        raise InputError(f"a job has at most {MAX_TASKS_PER_JOB} tasks", path="schedule")
--- a/packages/daemon/src/apricotpathd/scheduler.py
+++ b/packages/daemon/src/apricotpathd/scheduler.py
@@ -172,16 +172,19 @@
         if key.startswith(self._keys.cancel(JobId(""))):
             self.cancel(JobId(key.removeprefix(self._keys.cancel(JobId("")))))
             return
-        self.add_job(value)
+        self.add_job(value, key)
 
-    def add_job(self, content: str | bytes) -> None:
-        """Add a stored job unless the table has it already."""
+    def add_job(self, content: str | bytes, key: str = "") -> None:
+        """Add a stored job unless the table has it already; `key` is where it was found."""
         try:
             stored = parse_job(content)
         except InputError as exc:
-            log.error("stored job not read: %s", exc)
+            log.error("malformed job ignored: %s", exc, extra={"key": key})
             return
         job, now = stored.job, boot_s()
+        if key and key != self._keys.job(job.job_id):
+            log.error("job under the key of another one ignored", extra={"key": key})
+            return
         if job.job_id in self.table.rows:
             return
         if stored.ended is not None:
--- a/tests/features/oddvalues.feature
+++ b/tests/features/oddvalues.feature
@@ -29,6 +29,13 @@
     Then the oddvalues world serves a job, and another one after its scheduler is killed
     And the epochs of the oddvalues world only rose
 
+  # A stored job whose fields had other types, or that was nested too deeply, ended each scheduler.
+  Scenario: oddvalues runs the other jobs beside malformed ones
+    Given an oddvalues world of 2 entries and 2 agents
+    And each malformed job is stored in the oddvalues world
+    Then the oddvalues world serves a job, and another one after its scheduler is killed
+    And each process of the oddvalues world has logged each malformed record once
+
   # A dialling loop ended its process at an address that could not be passed to a socket.
   Scenario Outline: oddvalues goes on dialling when the peer's <part> is <value>
     When an oddvalues peer is dialled for a second at an address whose <part> is <value>
--- a/tests/features/steps/oddvalues_steps.py
+++ b/tests/features/steps/oddvalues_steps.py
@@ -16,7 +16,7 @@
 from apricotpath.workload import Step
 from apricotpathd.process import Process
 from support.jobworld import PREFIX, EntryNode, JobWorld, run_virtual
-from support.oddvalues import ODD_ENTRIES, ODD_LEADERS
+from support.oddvalues import ODD_ENTRIES, ODD_JOBS, ODD_LEADERS
 
 CORE = Size(1000, 100, 0)
 HOST = Size(8000, 8000, 0)
@@ -61,7 +61,7 @@
                 await act(self)
                 group.cancel_scope.cancel()
 
-        logger = logging.getLogger("apricotpath")
+        logger = logging.getLogger()
         logger.addHandler(self.logged)
         try:
             run_virtual(main)
@@ -115,6 +115,14 @@
     case.value = "all registrations"
 
 
+@given("each malformed job is stored in the oddvalues world")
+def store_jobs(context: Any) -> None:
+    case = case_of(context)
+    for number, value in enumerate(ODD_JOBS.values()):
+        case.before[f"{PREFIX}jobs/job/odd{number}"] = value
+    case.value = "all jobs"
+
+
 @then("the oddvalues world serves a job, and another one after its scheduler is killed")
 def serve_two(context: Any) -> None:
     case = case_of(context)
--- a/tests/support/oddvalues.py
+++ b/tests/support/oddvalues.py
@@ -82,3 +82,60 @@
     {"epoch": "5", "entry": '"x"', "incarnation": '"y"'},
     {"epoch": NOT_A_COUNT | {"0": "0"}, "entry": NOT_A_TEXT, "incarnation": NOT_A_TEXT},
 )
+ODD_JOBS = odd_records(
+    {"job": '"x"', "queue": '"bread"', "command": '"bake"', "accepted": "1.0", "steps": "[]"},
+    {
+        "job": NOT_A_TEXT,
+        "queue": NOT_A_TEXT,
+        "command": NOT_A_TEXT,
+        "accepted": NOT_A_NUMBER,
+        "progress": NOT_A_TEXT | {"an unknown word": '"odd"'},
+    },
+) | {
+    f"steps: {label}": raw_object(
+        {"job": '"x"', "queue": '"bread"', "command": '""', "accepted": "1", "steps": value}
+    )
+    for label, value in (
+        NOT_A_TEXT
+        | {
+            "an empty list": "[]",
+            "a text for a step": '["a"]',
+            "no size": '[{"count":1}]',
+            "a size of two": '[{"count":1,"size":[1,1]}]',
+            "too many tasks": '[{"count":10000000,"size":[1,1,0]}]',
+        }
+        | {
+            f"{field}: {label}": f'[{{"count":1,"size":[1,1,0],"{field}":{value}}}]'
+            for field, odd in {
+                "count": NOT_A_COUNT,
+                "size": NOT_A_COUNT | {"a list with a text": '[1,"a",1]', "negative": "[-1,1,0]"},
+                "estimate_s": NOT_A_NUMBER,
+                "after": {"null": "null", "itself": "[0]", "a text": '["a"]'},
+                "checkpoints": {"a text": '"a"', "null": "null"},
+                "label": NOT_A_TEXT,
+                "near": NOT_A_TEXT,
+                "max_per_host": NOT_A_NUMBER,
+                "image": NOT_A_TEXT,
+                "target_ms": NOT_A_NUMBER,
+            }.items()
+            for label, value in odd.items()
+        }
+    ).items()
+}
+ODD_JOBS |= {
+    f"schedule: {label}": raw_object(
+        {
+            "job": '"x"',
+            "queue": '"bread"',
+            "command": '""',
+            "accepted": "1",
+            "steps": '[{"count":1,"size":[1,1,0]}]',
+            "schedule": value,
+        }
+    )
+    for label, value in (
+        NOT_A_TEXT
+        | {"one value": "[1]", "a text": '["a",1,1]', "too large": "[1,1e400,1]", "none": "[0,0,0]"}
+    ).items()
+    if label != "null"
+}
