--- a/packages/core/src/apricotpath/jobcodec.py
+++ b/packages/core/src/apricotpath/jobcodec.py
@@ -13,8 +13,8 @@
     read_number,
     read_str,
     to_int,
+    to_list,
     to_number,
-    to_row,
 )
 from apricotpath.jsontext import compact_json
 from apricotpath.model import Size
@@ -78,7 +78,7 @@
 
 
 def _schedule(content: dict[str, Any]) -> Schedule:
-    times, first_s, interval_s = to_row(content["schedule"], "schedule", SCHEDULE_VALUES)
+    times, first_s, interval_s = to_list(content["schedule"], "schedule", SCHEDULE_VALUES)
     return Schedule(
         to_int(times, "schedule"), to_number(first_s, "schedule"), to_number(interval_s, "schedule")
     )
@@ -95,7 +95,7 @@
 
 
 def _step(row: Any) -> Step:
-    size = to_row(read_list(row, "size"), "size", SIZE_VALUES)
+    size = to_list(read_list(row, "size"), "size", SIZE_VALUES)
     return Step(
         count=read_int(row, "count"),
         size=Size(*(to_int(value, "size") for value in size[:SIZE_VALUES])),
--- a/packages/core/src/apricotpath/jsonfields.py
+++ b/packages/core/src/apricotpath/jsonfields.py
@@ -64,19 +64,13 @@
     return int(number)
 
 
-def to_list(value: Any, path: str) -> list[Any]:
-    """Return a list."""
+def to_list(value: Any, path: str, min_length: int = 0) -> list[Any]:
+    """Return a list of at least `min_length` values."""
     if not isinstance(value, list):
         raise InputError(f"{path} is not a list", path=path)
-    return value
-
-
-def to_row(value: Any, path: str, min_length: int) -> list[Any]:
-    """Return a list of at least `min_length` values."""
-    row = to_list(value, path)
-    if len(row) < min_length:
+    if len(value) < min_length:
         raise InputError(f"{path} has fewer than {min_length} values", path=path)
-    return row
+    return value
 
 
 def _field(body: Any, name: str, default: Any) -> Any:
--- a/packages/core/src/apricotpath/runlog.py
+++ b/packages/core/src/apricotpath/runlog.py
@@ -1,27 +1,30 @@
 """The scheduler's run log in the store: fenced appends, snapshots and loading."""
 
-import json
 import logging
 from collections import deque
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable, Mapping, Sequence
 
 import anyio
 
 from apricotpath.errors import (
     FencedError,
+    InputError,
     StoreError,
     StoreLimited,
     StoreOutcomeUnknown,
     StoreUnavailable,
 )
+from apricotpath.jsonfields import parse_object, read_int, read_list
 from apricotpath.jsontext import json_bytes
 from apricotpath.runrecords import RunRecord, from_row, to_row
-from apricotpath.store import Compare, Delete, Put, Store, new_token, settle_delays
+from apricotpath.store import Compare, Delete, KeyValue, Put, Store, new_token, settle_delays
 
 log = logging.getLogger(__name__)
 
 # Entries that a store transaction may have, compares included.
 MAX_TXN_ENTRIES = 32
+# Digits of the numbers in keys, so that keys sort as their numbers do.
+SEQ_DIGITS = 12
 # Entries that every append needs: two compares and one put.
 APPEND_ENTRIES = 3
 # Operations that a caller may add to one append.
@@ -47,30 +50,68 @@
         self._obsolete: deque[str] = deque()
 
     async def load(self) -> list[RunRecord]:
-        """Return all records, oldest first: those of the snapshot, then those of the log."""
-        records: list[RunRecord] = []
+        """Return all records, oldest first: those of the snapshot, then those of the log.
+
+        Malformed records are logged and left out; the hosts' reports then show what runs.
+        """
         head = await self.store.get(f"{self._prefix}snapshot")
-        after = 0
-        if head is not None:
-            after = int(json.loads(head.value)["seq"])
         parts = await self.store.range(f"{self._prefix}parts/")
+        entries = self._entries((await self.store.range(f"{self._prefix}log/")).items)
+        after = self._snapshot_seq(head, parts.items, entries)
+        records: list[RunRecord] = []
         for item in parts.items:
             if item.key.startswith(self._part_prefix(after)):
-                records += self._decode(item.value)
-            else:
-                self._obsolete.append(item.key)
-        entries = await self.store.range(f"{self._prefix}log/")
+                records += decode_records(item)
         self._seq = after
-        for item in entries.items:
-            seq = int(item.key.rsplit("/", 1)[1])
-            if seq <= after:
-                self._obsolete.append(item.key)
-                continue
-            records += self._decode(item.value)
-            self._seq = seq
-            self.entries += 1
+        for seq, item in entries.items():
+            if seq > after:
+                records += decode_records(item)
+                self._seq = seq
+                self.entries += 1
+        # `_snapshot_seq` relies on log entries being removed before the parts they follow.
+        self._obsolete += [item.key for seq, item in entries.items() if seq <= after]
+        self._obsolete += [
+            item.key for item in parts.items if not item.key.startswith(self._part_prefix(after))
+        ]
         return records
 
+    def _entries(self, items: Iterable[KeyValue]) -> dict[int, KeyValue]:
+        """Return the log entries by number, in order; keys of another form are left out."""
+        numbered = {}
+        for item in items:
+            digits = item.key.rpartition("/")[2]
+            if digits.isdecimal() and item.key == self._entry_key(int(digits)):
+                numbered[int(digits)] = item
+            else:
+                log.error("malformed key in the run log ignored", extra={"key": item.key})
+        return dict(sorted(numbered.items()))
+
+    def _snapshot_seq(
+        self, head: KeyValue | None, parts: Sequence[KeyValue], entries: Mapping[int, KeyValue]
+    ) -> int:
+        """Return the number of the last log entry that the newest complete snapshot contains.
+
+        With a malformed head, the oldest snapshot that the log continues is taken: a newer one
+        may be incomplete, and the parts of an older one are removed after the entries between.
+        """
+        if head is None:
+            return 0
+        found = {0, *(self._part_seq(item.key) for item in parts)}
+        try:
+            seq = read_int(parse_object(head.value, "the snapshot's head"), "seq")
+            if seq in found:
+                return seq
+            log.error("head of a snapshot without parts ignored", extra={"seq": seq})
+        except InputError as exc:
+            log.error("malformed head of a snapshot ignored: %s", exc)
+        continued = [seq for seq in found if seq + 1 in entries]
+        return min(continued) if continued else max(found)
+
+    def _part_seq(self, key: str) -> int:
+        """Return the number in the key of a snapshot's part; 0 if it has another form."""
+        digits = key.removeprefix(f"{self._prefix}parts/").partition("/")[0]
+        return int(digits) if digits.isdecimal() and len(digits) == SEQ_DIGITS else 0
+
     async def append(
         self, records: Sequence[RunRecord], extra: Sequence[Put | Delete] = ()
     ) -> None:
@@ -80,7 +121,7 @@
         scheduler has taken over; nothing of this call is written then.
         """
         self._seq += 1
-        key = f"{self._prefix}log/{self._seq:012d}"
+        key = self._entry_key(self._seq)
         value = {"token": new_token(), "records": [to_row(record) for record in records]}
         operations: list[Put | Delete] = [Put(key, json_bytes(value)), *extra]
         free_entries = MAX_TXN_ENTRIES - APPEND_ENTRIES - len(extra)
@@ -109,7 +150,7 @@
         old_parts = await self._old_parts(seq)
         await self._write(head, [], [Put(head, json_bytes({"token": new_token(), "seq": seq}))])
         first = seq - self.entries + 1
-        self._obsolete += [f"{self._prefix}log/{old:012d}" for old in range(first, seq + 1)]
+        self._obsolete += [self._entry_key(old) for old in range(first, seq + 1)]
         self._obsolete += old_parts
         self.entries = 0
 
@@ -123,8 +164,11 @@
             new = self._part_prefix(seq)
             return [item.key for item in result.items if not item.key.startswith(new)]
 
+    def _entry_key(self, seq: int) -> str:
+        return f"{self._prefix}log/{seq:0{SEQ_DIGITS}d}"
+
     def _part_prefix(self, seq: int) -> str:
-        return f"{self._prefix}parts/{seq:012d}/"
+        return f"{self._prefix}parts/{seq:0{SEQ_DIGITS}d}/"
 
     async def _write(
         self, key: str, compares: Sequence[Compare], operations: Sequence[Put | Delete]
@@ -154,5 +198,18 @@
                 log.error("store rejected the write, retrying: %s", exc)
             await anyio.sleep(next(delays))
 
-    def _decode(self, value: bytes) -> list[RunRecord]:
-        return [from_row(row) for row in json.loads(value)["records"]]
+
+def decode_records(item: KeyValue) -> list[RunRecord]:
+    """Return the records of a log entry or of a part of a snapshot; malformed ones are left out."""
+    records = []
+    try:
+        rows = read_list(parse_object(item.value, "the records"), "records")
+    except InputError as exc:
+        log.error("malformed entry of the run log ignored: %s", exc, extra={"key": item.key})
+        return []
+    for row in rows:
+        try:
+            records.append(from_row(row))
+        except InputError as exc:
+            log.error("malformed record of the run log ignored: %s", exc, extra={"key": item.key})
+    return records
--- a/packages/core/src/apricotpath/runrecords.py
+++ b/packages/core/src/apricotpath/runrecords.py
@@ -1,13 +1,17 @@
 """Records of the run log: the scheduler state that survives restarts and failover."""
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from functools import singledispatch
 from typing import Any
 
 from apricotpath.errors import InputError
 from apricotpath.ids import HostId, JobId
+from apricotpath.jsonfields import to_int, to_list, to_str
 from apricotpath.workload import Progress, RunResult, TaskKey
 
+MAX_RUN = 1 << 31
+
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
@@ -97,23 +101,67 @@
     return ["t", str(record.task), *summary]
 
 
-def from_row(row: list[Any]) -> RunRecord:
+def from_row(row: Any) -> RunRecord:
     """Parse the JSON form of a record, or raise InputError."""
+    tag, *values = to_list(row, "a record", 1)
+    parse = _PARSERS.get(tag) if isinstance(tag, str) else None
+    if parse is None:
+        raise InputError("a record has an unknown tag")
     try:
-        tag, *values = row
-        if tag == "a":
-            task, run, host, instance, born_ms = values
-            return Assigned(TaskKey.parse(task), run, HostId(host), instance, born_ms)
-        if tag == "e":
-            task, run, result, saved = values
-            return Ended(TaskKey.parse(task), run, RunResult(result), saved)
-        if tag == "s":
-            return Saved(TaskKey.parse(values[0]), str(values[1]))
-        if tag == "j":
-            return JobEnded(JobId(values[0]), Progress(values[1]))
-        if tag == "t":
-            task, done, failed, last_run, saved = values
-            return TaskSummary(TaskKey.parse(task), done, tuple(failed), last_run, saved)
-    except (ValueError, IndexError, TypeError) as exc:
-        raise InputError(f"a record of the run log is malformed: {row!r}") from exc
-    raise InputError(f"a record of the run log has the unknown tag {tag!r}")
+        return parse(values)
+    except ValueError as exc:
+        raise InputError(f"a record with the tag {tag!r} is malformed") from exc
+
+
+def _assigned(values: list[Any]) -> RunRecord:
+    task, run, host, instance, born_ms = values
+    return Assigned(
+        _task(task),
+        _run(run),
+        HostId(to_str(host, "host")),
+        to_str(instance, "instance"),
+        to_int(born_ms, "born_ms"),
+    )
+
+
+def _ended(values: list[Any]) -> RunRecord:
+    task, run, result, saved = values
+    return Ended(
+        _task(task), _run(run), RunResult(to_str(result, "result")), to_str(saved, "saved")
+    )
+
+
+def _saved(values: list[Any]) -> RunRecord:
+    task, saved = values
+    return Saved(_task(task), to_str(saved, "saved"))
+
+
+def _job_ended(values: list[Any]) -> RunRecord:
+    job, progress = values
+    return JobEnded(JobId(to_str(job, "job")), Progress(to_str(progress, "progress")))
+
+
+def _task_summary(values: list[Any]) -> RunRecord:
+    task, done, failed, last_run, saved = values
+    if not isinstance(done, bool):
+        raise InputError("done is not true or false", path="done")
+    failed_runs = tuple(_run(run) for run in to_list(failed, "failed"))
+    return TaskSummary(_task(task), done, failed_runs, _run(last_run), to_str(saved, "saved"))
+
+
+def _task(value: Any) -> TaskKey:
+    return TaskKey.parse(to_str(value, "task"))
+
+
+def _run(value: Any) -> int:
+    """Return the number of a run; the numbers of later runs must fit messages as well."""
+    return to_int(value, "run", low=0, high=MAX_RUN)
+
+
+_PARSERS: dict[str, Callable[[list[Any]], RunRecord]] = {
+    "a": _assigned,
+    "e": _ended,
+    "s": _saved,
+    "j": _job_ended,
+    "t": _task_summary,
+}
--- a/tests/features/oddvalues.feature
+++ b/tests/features/oddvalues.feature
@@ -36,6 +36,12 @@
     Then the oddvalues world serves a job, and another one after its scheduler is killed
     And each process of the oddvalues world has logged each malformed record once
 
+  # A malformed entry of the run log, even an empty one, ended each scheduler that loaded it.
+  Scenario: oddvalues runs jobs beside malformed entries of the run log
+    Given an oddvalues world of 2 entries and 2 agents
+    And each malformed entry of the run log is stored in the oddvalues world
+    Then the oddvalues world serves a job, and another one after its scheduler is killed
+
   # A dialling loop ended its process at an address that could not be passed to a socket.
   Scenario Outline: oddvalues goes on dialling when the peer's <part> is <value>
     When an oddvalues peer is dialled for a second at an address whose <part> is <value>
--- a/tests/features/runlog.feature
+++ b/tests/features/runlog.feature
@@ -33,3 +33,26 @@
     When 40 records are appended to the runlog with a snapshot after every 15
     Then the next scheduler loads the runlog's records once and in order
     And the store holds at most 12 keys of the runlog
+
+  # A malformed log entry or head of a snapshot ended each scheduler that loaded it.
+  Scenario: runlog loads the other records beside malformed ones
+    Given a runlog of the first scheduler
+    When each malformed entry is written to the runlog, each followed by a good one
+    And entries with malformed keys are written to the runlog
+    And the next scheduler appends a record to the runlog
+    Then the next scheduler loads the runlog's records once and in order
+
+  # Without a readable head, the parts and the log still hold all records.
+  Scenario Outline: runlog loads all records with a malformed head <when>
+    Given a runlog of the first scheduler
+    When 40 records are appended to the runlog with a snapshot after every 15
+    And the head of the runlog's snapshot is malformed <when>
+    Then the next scheduler loads the runlog's records once and in order
+    And the store holds at most 12 keys of the runlog
+
+    Examples:
+      | when                                       |
+      | at once                                    |
+      | right after a snapshot                     |
+      | after a snapshot that was not completed    |
+      | while a restarted scheduler removes parts  |
--- a/tests/features/steps/oddvalues_steps.py
+++ b/tests/features/steps/oddvalues_steps.py
@@ -16,7 +16,7 @@
 from apricotpath.workload import Step
 from apricotpathd.process import Process
 from support.jobworld import PREFIX, EntryNode, JobWorld, run_virtual
-from support.oddvalues import ODD_ENTRIES, ODD_JOBS, ODD_LEADERS
+from support.oddvalues import ODD_ENTRIES, ODD_JOBS, ODD_LEADERS, ODD_LOG_ENTRIES
 
 CORE = Size(1000, 100, 0)
 HOST = Size(8000, 8000, 0)
@@ -123,6 +123,16 @@
     case.value = "all jobs"
 
 
+@given("each malformed entry of the run log is stored in the oddvalues world")
+def store_log_entries(context: Any) -> None:
+    case = case_of(context)
+    for number, value in enumerate(ODD_LOG_ENTRIES.values()):
+        case.before[f"{PREFIX}runs/log/{number + 1:012d}"] = value
+        case.before[f"{PREFIX}runs/parts/{0:012d}/{number:06d}"] = value
+    case.before[f"{PREFIX}runs/snapshot"] = b""
+    case.value = "all entries of the run log"
+
+
 @then("the oddvalues world serves a job, and another one after its scheduler is killed")
 def serve_two(context: Any) -> None:
     case = case_of(context)
--- a/tests/features/steps/runlog_steps.py
+++ b/tests/features/steps/runlog_steps.py
@@ -1,5 +1,6 @@
 """Steps for runlog.feature."""
 
+import json
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -8,12 +9,13 @@
 
 from apricotpath.errors import FencedError
 from apricotpath.ids import JobId
-from apricotpath.runlog import RunLog
-from apricotpath.runrecords import Ended, RunRecord
+from apricotpath.runlog import MAX_EXTRA, RunLog
+from apricotpath.runrecords import Ended, RunRecord, to_row
 from apricotpath.store import Put
 from apricotpath.workload import RunResult, TaskKey
 from support.jobworld import run_virtual
 from support.memorystore import MemoryStore, SharedStore
+from support.oddvalues import ODD_HEADS, ODD_LOG_ENTRIES
 
 PREFIX = "test/runs/"
 EPOCH_KEY = "test/epoch"
@@ -122,6 +124,76 @@
     case.actions.append(act)
 
 
+@when("each malformed entry is written to the runlog, each followed by a good one")
+def odd_entries(context: Any) -> None:
+    case: LogCase = context.log
+
+    async def act() -> None:
+        for number, value in enumerate(ODD_LOG_ENTRIES.values()):
+            key = f"{PREFIX}log/{2 * number + 2:012d}"
+            await case.store.txn([], [Put(key, value)])
+            case.log = await case.take_over(MemoryStore(case.shared))
+            await case.append(number + 1)
+
+    case.actions.append(act)
+
+
+@when("entries with malformed keys are written to the runlog")
+def odd_keys(context: Any) -> None:
+    case: LogCase = context.log
+
+    async def act() -> None:
+        row = json.dumps({"records": [to_row(record(999))]}).encode()
+        for name in ("log/", "log/7", "log/000000000001/1", "log/-00000000001", "log/text"):
+            await case.store.txn([], [Put(PREFIX + name, row)])
+        for name in ("parts/", "parts/text", "parts/1/000001", "parts/000000000001"):
+            await case.store.txn([], [Put(PREFIX + name, b"")])
+
+    case.actions.append(act)
+
+
+@when("the next scheduler appends a record to the runlog")
+def append_next(context: Any) -> None:
+    case: LogCase = context.log
+
+    async def act() -> None:
+        case.log = await case.take_over(MemoryStore(case.shared))
+        await case.append(500)
+
+    case.actions.append(act)
+
+
+@when("the head of the runlog's snapshot is malformed {when_}")
+def odd_head(context: Any, when_: str) -> None:
+    case: LogCase = context.log
+
+    async def act() -> None:
+        if when_ == "right after a snapshot":
+            await case.log.snapshot(case.appended)
+            # An append without records removes what the snapshot replaces.
+            while case.log._obsolete:
+                await case.log.append([])
+        elif when_.startswith("after a snapshot"):
+            head = case.shared.items[f"{PREFIX}snapshot"]
+            await case.log.snapshot(case.appended)
+            case.shared.items[head.key] = head
+            parts = [key for key in case.shared.items if key.startswith(f"{PREFIX}parts/")]
+            case.shared.remove(max(parts))
+        elif when_.startswith("while"):
+            await case.log.snapshot(case.appended)
+            case.log = await case.take_over(MemoryStore(case.shared))
+            # The other operations of the append leave room to remove a part of the old keys only.
+            other = [Put(f"test/other/{number}", b"") for number in range(MAX_EXTRA)]
+            await case.log.append([record(100)], other)
+            case.appended.append(record(100))
+        for value in ODD_HEADS.values():
+            await case.store.txn([], [Put(f"{PREFIX}snapshot", value)])
+            await case.take_over(MemoryStore(case.shared))
+            assert case.loaded == case.appended, (value[:80], case.loaded)
+
+    case.actions.append(act)
+
+
 @then("the next scheduler loads the runlog's records once and in order")
 def loads(context: Any) -> None:
     case: LogCase = context.log
--- a/tests/support/oddvalues.py
+++ b/tests/support/oddvalues.py
@@ -139,3 +139,33 @@
     ).items()
     if label != "null"
 }
+ODD_RECORD_ROWS = {
+    "no list": "7",
+    "an empty list": "[]",
+    "an unknown tag": '["z"]',
+    "a list for a tag": "[[]]",
+    "too few values": '["a", "x.0.0.0"]',
+    "too many values": '["s", "x.0.0.0", "", ""]',
+    "no name of a task": '["s", "x", ""]',
+    "a list for a task": '["s", [], ""]',
+    "a long number in a task": '["s", "x.0.0.' + 5000 * "1" + '", ""]',
+    "a text for a run": '["a", "x.0.0.0", "1", "host0", "host0", 1]',
+    "a large run": '["a", "x.0.0.0", 1e18, "host0", "host0", 1]',
+    "a list for a host": '["a", "x.0.0.0", 1, [], "host0", 1]',
+    "1e400 for a start": '["a", "x.0.0.0", 1, "host0", "host0", 1e400]',
+    "an unknown result": '["e", "x.0.0.0", 1, "odd", ""]',
+    "a list for a result": '["e", "x.0.0.0", 1, [], ""]',
+    "a list for a job": '["j", [], "completed"]',
+    "an unknown state": '["j", "x", "odd"]',
+    "a number for failed runs": '["t", "x.0.0.0", false, 3, 3, ""]',
+    "a text for done": '["t", "x.0.0.0", "no", [], 3, ""]',
+    "nested deeply": '["t", ' + 900 * "[" + 900 * "]" + ', false, [], 3, ""]',
+}
+ODD_LOG_ENTRIES = dict(NOT_A_RECORD) | {
+    f"records: {label}": raw_object({"records": value})
+    for label, value in (
+        NOT_A_TEXT | {f"[{label}]": f"[{row}]" for label, row in ODD_RECORD_ROWS.items()}
+    ).items()
+    if label != "a list"
+}
+ODD_HEADS = odd_records({"seq": "1"}, {"seq": NOT_A_COUNT | {"1000000": "1000000"}})
