--- a/tests/features/platforminput.feature
+++ b/tests/features/platforminput.feature
@@ -27,3 +27,7 @@
       | has no ip           | ip        |
       | has a bad address   | address   |
       | has no port range   | portRange |
+
+  # One malformed row made the agent drop the whole answer, so that no lease was renewed.
+  Scenario: platforminput leaves malformed rows out of an executor's lists
+    Then the platforminput parser keeps the other rows beside malformed ones in an executor's lists
--- a/tests/features/platformpath.feature
+++ b/tests/features/platformpath.feature
@@ -106,3 +106,11 @@
     Then each agent of platformpath keeps at most 2 links, one of them to the scheduler
     When the scheduler is killed at platformpath
     Then each agent of platformpath keeps at most 2 links, one of them to the scheduler
+
+  # After one malformed row in an executor's lists, its agent renewed no lease there.
+  Scenario: platformpath runs tasks on an executor whose lists have malformed rows
+    When platformpath's executors list malformed rows
+    And a client submits a job of steps 4 and 1 at platformpath's front-1
+    Then platformpath shows the job as completed within 25 seconds
+    And no task of platformpath had two runs at the same time
+    And each process of platformpath that was not killed still runs
--- a/tests/features/steps/platforminput_steps.py
+++ b/tests/features/steps/platforminput_steps.py
@@ -5,6 +5,7 @@
 import json
 import tempfile
 from collections.abc import Callable
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -15,13 +16,23 @@
 
 from apricotpath.errors import InputError, SettingsError, StoreError
 from apricotpath.executor import ExecutorError
-from apricotpath.ids import JobId, QueueId
+from apricotpath.ids import JobId, QueueId, TaskId
+from apricotpath.messages import RunEnding, RunStatus
+from apricotpath.workload import RunResult
 from apricotpath_platform import executorcalls, store
 from apricotpath_platform.cmdline import main
 from apricotpath_platform.heartbeats import parse_heartbeat
 from apricotpath_platform.jobrequests import parse_submission
 from apricotpath_platform.operatorview import parse_configuration
 from apricotpath_platform.settings import load_node_settings
+from support.oddvalues import (
+    HEARTBEAT,
+    ODD_ENDED,
+    ODD_HEARTBEATS,
+    ODD_RUN_DETAILS,
+    ODD_RUNNING,
+    raw_object,
+)
 
 # Field names that the parsers look up, so that random objects exercise more than a missing field.
 NAMES = st.sampled_from(
@@ -67,7 +78,7 @@
     "configuration": (parse_configuration, InputError),
     "heartbeat": (lambda data: parse_heartbeat("i-1", data, 0.0), InputError),
     "holding": (
-        lambda data: executorcalls.read_report(httpx.Response(200, content=data)),
+        lambda data: executorcalls.ReportReader().read(httpx.Response(200, content=data)),
         ExecutorError,
     ),
     "settings": (read_settings, SettingsError),
@@ -139,3 +150,42 @@
     assert context.code == 2, context.code
     assert words in context.stderr, context.stderr
     assert context.stderr.count("\n") == 1, context.stderr
+
+
+@then(
+    "the platforminput parser refuses each malformed heartbeat, "
+    "also from an id that no header can hold"
+)
+def check_heartbeats(context: Any) -> None:
+    accepted = []
+    cases = [("i-1", label, data) for label, data in ODD_HEARTBEATS.items()]
+    valid = raw_object(HEARTBEAT)
+    cases += [(name, "its id", valid) for name in ("", "i-\u00e9", "i 1", "i\n1", "i" * 1000)]
+    for instance, label, data in cases:
+        try:
+            parse_heartbeat(instance, data, 0.0)
+        except InputError:
+            continue
+        accepted.append((instance[:10], label))
+    assert not accepted, accepted
+    assert parse_heartbeat("i-1", valid, 0.0)
+
+
+@then("the platforminput parser keeps the other rows beside malformed ones in an executor's lists")
+def check_lists(context: Any) -> None:
+    running = [[f"x.0.0.{number}", 1, *rest] for number, rest in enumerate(ODD_RUN_DETAILS)]
+    answer = {
+        "clockMs": 1,
+        "running": [*ODD_RUNNING, *running, ["x.0.1.0", 2, "c", 50, 3.5]],
+        "ended": [*ODD_ENDED, [1, "x.0.2.0", 3, "done", "d"], [2, "x.0.2.1", 3, [], 7]],
+    }
+    reader = executorcalls.ReportReader()
+    report = reader.read(httpx.Response(200, content=json.dumps(answer).encode()))
+    unreadable = [RunStatus(TaskId(row[0]), 1, "", 0, 0.0) for row in running]
+    assert [replace(run, percent=0) for run in report.runs[:-1]] == unreadable, report.runs
+    assert report.runs[-1] == RunStatus(TaskId("x.0.1.0"), 2, "c", 50, 3.5), report.runs[-1]
+    assert report.endings == (
+        RunEnding(1, TaskId("x.0.2.0"), 3, RunResult.DONE, "d"),
+        RunEnding(2, TaskId("x.0.2.1"), 3, RunResult.LOST, ""),
+    ), report.endings
+    assert reader.malformed == len(ODD_RUNNING) + len(ODD_ENDED)
--- a/tests/features/steps/platformpath_steps.py
+++ b/tests/features/steps/platformpath_steps.py
@@ -12,7 +12,21 @@
 import httpx
 from behave import given, then, when
 
+from apricotpath.store import Delete, Put
 from apricotpath_cli.logtimeline import read_logs, timeline
+from support.oddvalues import (
+    HEARTBEAT,
+    NOT_A_RECORD,
+    ODD_ENDED,
+    ODD_ENTRIES,
+    ODD_HEARTBEATS,
+    ODD_JOBS,
+    ODD_LEADERS,
+    ODD_LOG_ENTRIES,
+    ODD_RUNNING,
+    ODD_SUBMISSIONS,
+    raw_object,
+)
 from support.platformworld import PREFIX, PlatformWorld, configuration
 
 CPU = {"cpu": 500, "memMb": 64, "estRuntimeMs": 500}
@@ -442,3 +456,122 @@
     result = context.ended_process
     assert result.returncode != 0 and sentence in result.stderr, result
     assert "Traceback" not in result.stderr, result.stderr
+
+
+def write_raw(run: RunningPlatform, key: str, value: bytes | None) -> None:
+    change: Put | Delete = Delete(key) if value is None else Put(key, value)
+    run.world.portal.call(run.world.shared.apply, [], [change])
+
+
+@when("malformed records of all kinds are left in platformpath's store")
+def leave_records(context: Any) -> None:
+    run = running(context)
+    records = {
+        f"{kind}odd-{number}": value
+        for kind, values in {
+            "apricotpath/ctl/entry/": ODD_ENTRIES,
+            "apricotpath/ctl/": ODD_LEADERS,
+            "apricotpath/jobs/job/": ODD_JOBS,
+            "apricotpath/jobs/cancel/": NOT_A_RECORD,
+            "apricotpath/runs/log/": ODD_LOG_ENTRIES,
+            "apricotpath/runs/parts/": ODD_LOG_ENTRIES,
+            "op/": NOT_A_RECORD,
+        }.items()
+        for number, value in enumerate(values.values())
+    }
+    for key, value in records.items():
+        write_raw(run, key, value)
+    for key, value in (("leader", b""), ("epoch", 100_000 * b"["), ("epoch", b"{}")):
+        write_raw(run, f"apricotpath/ctl/{key}", value)
+        time.sleep(0.3)
+    context.add_cleanup(lambda: [write_raw(run, key, None) for key in records])
+
+
+@when("the scheduler and an agent of platformpath are killed, and the agent is started again")
+def kill_two(context: Any) -> None:
+    run = running(context)
+    items, key = run.world.shared.items, "apricotpath/ctl/leader"
+    run.world.wait(lambda: key in items and b'"entry"' in items[key].value)
+    context.killed = run.scheduler()
+    run.world.end(context.killed)
+    restart_agent(run)
+
+
+@when("a client submits a job of steps {first:d} and {second:d} at a live front of platformpath")
+def submit_anywhere(context: Any, first: int, second: int) -> None:
+    run = running(context)
+    live = [
+        name
+        for name, process in run.world.processes.items()
+        if "front" in name and process.poll() is None
+    ]
+    run.submit(live[0], first, second)
+
+
+@then("each process of platformpath that was not killed still runs")
+def run_on(context: Any) -> None:
+    killed = getattr(context, "killed", "")
+    codes = {name: process.poll() for name, process in running(context).world.processes.items()}
+    ended = {name for name, code in codes.items() if code is not None and name != killed}
+    assert not ended, {name: running(context).world.log(name)[-2000:] for name in ended}
+
+
+@when("platformpath's agents get each malformed heartbeat")
+def odd_heartbeats(context: Any) -> None:
+    run = running(context)
+    valid = raw_object(HEARTBEAT | {"born": "9000000000000000000"})
+    for name in ("side-1", "side-2"):
+        control = run.world.settings[name]["listen"]["control"]
+        posts = [(f"i-{name}", body) for body in ODD_HEARTBEATS.values()]
+        posts += [(path, valid) for path in ("i-%C3%A9", "i%201", "i%0A1", "", "i-odd")]
+        for instance, body in posts:
+            url = f"http://{control}/instances/{instance}"
+            httpx.put(url, content=body, timeout=2, trust_env=False)
+        time.sleep(1.0)
+
+
+@when("platformpath's executor of {name} begins to drain")
+def begin_drain(context: Any, name: str) -> None:
+    executor = running(context).world.executors[name]
+    executor.state = "draining"
+
+    def restore() -> None:
+        executor.state = "ready"
+
+    context.add_cleanup(restore)
+
+
+@then("platformpath's agent {name} knows within {seconds:d} seconds that its executor drains")
+def knows_drain(context: Any, name: str, seconds: int) -> None:
+    world = running(context).world
+    world.wait(lambda: world.status(name, "/debug").json()["draining"] is True, seconds)
+
+
+@when("platformpath's executors list malformed rows")
+def list_odd_rows(context: Any) -> None:
+    executors = running(context).world.executors.values()
+    for executor in executors:
+        executor.odd_running, executor.odd_ended = ODD_RUNNING, ODD_ENDED
+
+    def restore() -> None:
+        for executor in executors:
+            executor.odd_running, executor.odd_ended = [], []
+
+    context.add_cleanup(restore)
+
+
+@when("a client posts each malformed job at platformpath's front-1")
+def post_odd_jobs(context: Any) -> None:
+    world = running(context).world
+    context.statuses = {
+        label: world.call("front-1", "POST", PREFIX + f"{number:015x}e", body).status_code
+        for number, (label, body) in enumerate(ODD_SUBMISSIONS.items())
+    }
+
+
+@then("platformpath has refused each of them")
+def refused_each(context: Any) -> None:
+    accepted = {
+        label: status for label, status in context.statuses.items() if status not in (400, 413)
+    }
+    assert not accepted, accepted
--- a/tests/support/oddvalues.py
+++ b/tests/support/oddvalues.py
@@ -169,3 +169,83 @@
     if label != "a list"
 }
 ODD_HEADS = odd_records({"seq": "1"}, {"seq": NOT_A_COUNT | {"1000000": "1000000"}})
+
+# Rows in an executor's lists, which are parsed with the other rows of an answer.
+ODD_NUMBERS = [
+    *(None, True, "7", [], {}, float("inf"), float("nan"), 2**63, 10**400, -1, 1.5),
+    *([[[[[[]]]]]], "\ud800"),
+]
+ODD_RUNNING = [
+    *ODD_NUMBERS,
+    *([value, 1, "", 5, 0] for value in [*ODD_NUMBERS, "no task", "x.0.0", "x.y.0.0"]),
+    *(["x.0.0.0", value, "", 5, 0] for value in ODD_NUMBERS),
+]
+ODD_ENDED = [
+    *ODD_NUMBERS,
+    *([value, "x.0.0.0", 1, "done", ""] for value in [*ODD_NUMBERS, 0, 2**62]),
+    *([1, value, 1, "done", ""] for value in [*ODD_NUMBERS, "no task"]),
+    *([1, "x.0.0.0", value, "done", ""] for value in ODD_NUMBERS),
+]
+# Rows that name a run, with malformed values in the rest of the row.
+ODD_RUN_DETAILS = [
+    *([value, 5, 0] for value in ODD_NUMBERS if value != "7"),
+    *(["", value, 0] for value in ODD_NUMBERS if value not in (-1, 1.5)),
+    *(["", 5, value] for value in ODD_NUMBERS if value not in (-1, 1.5)),
+    [],
+]
+HEARTBEAT = {
+    "service": '"huvo11a"',
+    "zone": '"z1"',
+    "state": '"ready"',
+    "capacity": '{"cpu":8000,"memMb":8000,"gpu":0}',
+    "labels": '["a","r1-1"]',
+    "seq": "1",
+    "born": "1",
+}
+ODD_HEARTBEATS = odd_records(
+    HEARTBEAT,
+    {
+        "service": NOT_A_TEXT,
+        "zone": NOT_A_TEXT,
+        "state": NOT_A_TEXT | {"an unknown state": '"odd"'},
+    },
+) | {
+    f"{name}: {label}": raw_object(HEARTBEAT | {name: value})
+    for name, values in {
+        "seq": NOT_A_NUMBER | {"2**62": str(2**62)},
+        "born": NOT_A_COUNT | {"2**62": str(2**62), "1e18": "1e18"},
+        "labels": {"a text": '"a"', "a number": "[1]", "a lone surrogate": '["a","\\ud800"]'},
+        "capacity": {"a text": '"a"', "null": "null"}
+        | {
+            f"cpu {label}": f'{{"cpu":{value},"memMb":1,"gpu":0}}'
+            for label, value in (NOT_A_COUNT | {"2**62": str(2**62)}).items()
+        },
+    }.items()
+    for label, value in values.items()
+}
+
+SUBMITTED_STEP = {"count": "1", "cpu": "1", "memMb": "1"}
+ODD_SUBMISSIONS = odd_records(
+    {"spec": '""', "steps": f"[{raw_object(SUBMITTED_STEP).decode()}]"},
+    {
+        "steps": NOT_A_TEXT | {"a text": '"a"', "a list of lists": "[[]]"},
+        "times": (NOT_A_NUMBER | {"10**15": "1000000000000000"}),
+    },
+) | {
+    f"{name}: {label}": raw_object(
+        {"spec": '""', "steps": f"[{raw_object(SUBMITTED_STEP | {name: value}).decode()}]"}
+    )
+    for name, values in {
+        "count": NOT_A_COUNT | {"0": "0", "99999999": "99999999"},
+        "cpu": NOT_A_COUNT,
+        "estRuntimeMs": NOT_A_NUMBER,
+        "after": {"null": "null", "a text": '["a"]', "1e400": "[1e400]", "itself": "[0]"},
+        "affinity": NOT_A_TEXT,
+        "requires": NOT_A_TEXT,
+        "image": NOT_A_TEXT,
+        "checkpoint": {"null": "null", "a number": "1"},
+    }.items()
+    for label, value in values.items()
+}
+# Without occurrences, a job runs once.
+del ODD_SUBMISSIONS["no times"]
--- a/tests/support/platformstandin.py
+++ b/tests/support/platformstandin.py
@@ -170,13 +170,18 @@
 
 
 class ExecutorApp:
-    """ASGI app of an executor model; `send_heartbeats` reports it to its agent."""
+    """ASGI app of an executor model; `send_heartbeats` reports it to its agent.
+
+    `odd_running` and `odd_ended` are rows that precede those of the model in its lists.
+    """
 
     def __init__(self, model: ExecutorModel, service: str, zone: str, address: str) -> None:
         self.model = model
         self.service, self.zone, self.address = service, zone, address
         self.state = "ready"
         self.seq = 0
+        self.odd_running: list[Any] = []
+        self.odd_ended: list[Any] = []
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan":
@@ -232,7 +237,11 @@
             [ending.number, ending.task, ending.run, ending.result.value, ending.saved]
             for ending in model.endings
         ]
-        return {"running": running, "ended": ended, "born": model.born_ms}
+        return {
+            "running": [*self.odd_running, *running],
+            "ended": [*self.odd_ended, *ended],
+            "born": model.born_ms,
+        }
 
     async def send_heartbeats(self, control: str) -> None:
         """Send heartbeats to the agent until cancelled."""
