--- a/tests/features/platforminput.feature
+++ b/tests/features/platforminput.feature
@@ -28,6 +28,10 @@
       | has a bad address   | address   |
       | has no port range   | portRange |
 
+  # A label that is not valid Unicode, or a birth or a number far too large, was passed on.
+  Scenario: platforminput refuses each malformed heartbeat
+    Then the platforminput parser refuses each malformed heartbeat, also from an id that no header can hold
+
   # One malformed row made the agent drop the whole answer, so that no lease was renewed.
   Scenario: platforminput leaves malformed rows out of an executor's lists
     Then the platforminput parser keeps the other rows beside malformed ones in an executor's lists
--- a/tests/features/platformpath.feature
+++ b/tests/features/platformpath.feature
@@ -107,6 +107,16 @@
     When the scheduler is killed at platformpath
     Then each agent of platformpath keeps at most 2 links, one of them to the scheduler
 
+  # An id that no header can hold ended the agent; after a start time far too large, it ignored all
+  # heartbeats of its executor.
+  Scenario: platformpath follows an executor after malformed heartbeats
+    When platformpath's agents get each malformed heartbeat
+    And platformpath's executor of side-1 begins to drain
+    Then platformpath's agent side-1 knows within 3 seconds that its executor drains
+    When a client submits a job of steps 4 and 1 at platformpath's front-1
+    Then platformpath shows the job as completed within 25 seconds
+    And each process of platformpath that was not killed still runs
+
   # After one malformed row in an executor's lists, its agent renewed no lease there.
   Scenario: platformpath runs tasks on an executor whose lists have malformed rows
     When platformpath's executors list malformed rows
