--- a/tests/features/platformpath.feature
+++ b/tests/features/platformpath.feature
@@ -107,6 +107,14 @@
     When the scheduler is killed at platformpath
     Then each agent of platformpath keeps at most 2 links, one of them to the scheduler
 
+  # Malformed records ended each process that read them, and again after each restart.
+  Scenario: platformpath serves on beside malformed records in the store
+    When malformed records of all kinds are left in platformpath's store
+    And the scheduler and an agent of platformpath are killed, and the agent is started again
+    And a client submits a job of steps 4 and 1 at a live front of platformpath
+    Then platformpath shows the job as completed within 25 seconds
+    And each process of platformpath that was not killed still runs
+
   # An id that no header can hold ended the agent; after a start time far too large, it ignored all
   # heartbeats of its executor.
   Scenario: platformpath follows an executor after malformed heartbeats
@@ -124,3 +132,9 @@
     Then platformpath shows the job as completed within 25 seconds
     And no task of platformpath had two runs at the same time
     And each process of platformpath that was not killed still runs
+
+  # A number of occurrences without a bound was accepted, and no scheduler could hold its tasks.
+  Scenario: platformpath refuses each malformed job of a client
+    When a client posts each malformed job at platformpath's front-1
+    Then platformpath has refused each of them
+    And each process of platformpath that was not killed still runs
