--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -9,7 +9,7 @@
 
 from apricotpath.boottime import boot_s
 from apricotpath.config import Address
-from apricotpath.entryrecords import EntryRecord, LeaderRecord
+from apricotpath.entryrecords import EntryRecord, LeaderRecord, RecordReader, next_epoch
 from apricotpath.errors import StoreError, StoreLeaseEnded, StoreOutcomeUnknown
 from apricotpath.ids import Epoch, IncarnationId, ProcessId
 from apricotpath.mirror import Mirror, WatchableStore
@@ -89,6 +89,8 @@
         root = f"{cfg.prefix}ctl/"
         self._leader_key, self._epoch_key = f"{root}leader", f"{root}epoch"
         self._entry_prefix = f"{root}entry/"
+        self.entry_records = RecordReader(EntryRecord.parse)
+        self.leader_records = RecordReader(LeaderRecord.parse)
         self.mirror = Mirror(store, root, self._on_key_change)
 
     @property
@@ -144,7 +146,7 @@
 
     def _on_key_change(self, key: str, value: bytes | None, revision: int) -> None:
         if key == self._leader_key:
-            record = LeaderRecord.parse(value)
+            record = self.leader_records.read(self.mirror.items.get(key))
             if record is not None and (self.leader is None or record.epoch >= self.leader.epoch):
                 self.leader = record
                 log.info("leader seen", extra={"entry": record.entry, "epoch": record.epoch})
@@ -224,7 +226,7 @@
         """Yield the names and records of the other registered entries."""
         for key, item in self.mirror.items.items():
             if key.startswith(self._entry_prefix) and key != self.presence_key:
-                record = EntryRecord.parse(item.value)
+                record = self.entry_records.read(item)
                 if record is not None:
                     yield ProcessId(key.removeprefix(self._entry_prefix)), record
 
@@ -238,8 +240,7 @@
         )
 
     def _is_vacant(self) -> bool:
-        item = self.mirror.items.get(self._leader_key)
-        record = LeaderRecord.parse(item.value if item else None)
+        record = self.leader_records.read(self.mirror.items.get(self._leader_key))
         # A record that names this entry while it has no term was written by an earlier
         # incarnation, or by an attempt whose answer was lost.
         return record is None or (record.entry == self._entry and self.term is None)
@@ -251,8 +252,8 @@
         """
         leader = self.mirror.items.get(self._leader_key)
         epoch_item = self.mirror.items.get(self._epoch_key)
-        previous = LeaderRecord.parse(epoch_item.value if epoch_item else None)
-        epoch = Epoch(previous.epoch + 1 if previous else 1)
+        previous = self.leader_records.read(epoch_item)
+        epoch = next_epoch(epoch_item, previous, self.leader)
         compares = [
             Compare(self._leader_key, leader.mod_revision if leader else 0),
             Compare(self._epoch_key, epoch_item.mod_revision if epoch_item else 0),
@@ -276,7 +277,8 @@
             return None
         self.leader = LeaderRecord(epoch, self._entry, self._incarnation)
         term = Term(epoch, self._epoch_key, revision, previous)
-        if previous is None or self._has_ended(previous):
+        # A malformed record does not tell who has led before.
+        if epoch_item is None or (previous is not None and self._has_ended(previous)):
             term.predecessor_ended.set()
         ended = term.predecessor_ended.is_set()
         log.info("scheduler elected", extra={"epoch": epoch, "predecessor_ended": ended})
