--- a/packages/core/src/apricotpath/waitreasons.py
+++ b/packages/core/src/apricotpath/waitreasons.py
@@ -10,10 +10,11 @@
     OTHER_SERVICE,
     HostLoad,
     PlacementInput,
+    WaitingGroup,
     exclusion_reason,
     waiting_groups,
 )
-from apricotpath.workload import Queue, Step
+from apricotpath.workload import Step
 
 # Shorter waits are not logged.
 LONG_WAIT_S = 2.0
@@ -35,37 +36,53 @@
             return
         key = group.tasks[0].key
         reasons = Counter(
-            reason
-            for load in loads.values()
-            if (reason := wait_reason(load, group.step, group.queue, inputs))
+            reason for load in loads.values() if (reason := wait_reason(load, group, inputs))
         )
         yield {
             "job": key.job,
             "step": key.step,
             "occurrence": key.occurrence,
             "tasks": len(group.tasks),
+            "size": [group.step.size.cpu_milli, group.step.size.memory_mb],
+            "max_per_host": group.step.max_per_host,
+            "long_running": group.step.long_running,
             "waited_s": round(waited_s, 3),
             "gang": group.step.gang,
             "hosts": dict(reasons) or {"none of the service": len(loads)},
         }
 
 
-def wait_reason(load: HostLoad, step: Step, queue: Queue, inputs: PlacementInput) -> str:
-    """Return why no task of a step starts on a host now; empty if it is of another service."""
-    reason = exclusion_reason(load, step, queue, inputs)
+def wait_reason(load: HostLoad, group: WaitingGroup, inputs: PlacementInput) -> str:
+    """Return why no task of a group starts on a host now; empty if it is of another service."""
+    step = group.step
+    reason = exclusion_reason(load, step, group.queue, inputs)
     if reason:
         return "" if reason == OTHER_SERVICE else reason
     if not step.size.fits_in(load.capacity):
         return "too small"
-    return "has room" if load.fits(step) else "full"
+    if not load.within_max_per_host(group.tasks[0].key, step):
+        return "enough tasks of the step"
+    return resource_shortage(load, step) or "has room"
+
+
+def resource_shortage(load: HostLoad, step: Step) -> str:
+    """Return which resource a host lacks for one more task of a step; empty if it has room."""
+    free = load.capacity - load.claimed
+    if free.cpu_milli < step.size.cpu_milli and not step.filler:
+        return "processors reserved"
+    if free.memory_mb < step.size.memory_mb:
+        return "memory reserved"
+    if free.accelerators < step.size.accelerators:
+        return "accelerators reserved"
+    return "" if load.fits(step) else "processors in use"
 
 
 def host_row(load: HostLoad, now: float, silent_s: float) -> list[float]:
     """Return the values of one host in the `fleet` log line, in this order.
 
     Share of processors in use, share reserved, number of serving tasks, number
-    of filler tasks, speed limit of filler tasks in percent, and 1 if the host
-    accepts new runs, else 0.
+    of filler tasks, speed limit of filler tasks in percent, 1 if the host
+    accepts new runs, else 0, and share of memory reserved.
     """
     return [
         round(load.share_used(), 2),
@@ -74,4 +91,5 @@
         load.fillers,
         round(load.host.filler_percent),
         int(load.host.accepts_starts(now, silent_s)),
+        round(load.claimed.memory_mb / max(1, load.capacity.memory_mb), 2),
     ]
--- a/tests/features/runplacement.feature
+++ b/tests/features/runplacement.feature
@@ -157,3 +157,17 @@
       | but not if none may be away       | 0     |
       | but not if it has just begun      | 0     |
       | but not without filler tasks      | 0     |
+
+  # Guards against waits whose reason cannot be told from the log.
+  Scenario Outline: runplacement logs that a task waits because of <reason>
+    Given runplacement hosts a and b of 4 cores
+    When a task of 1 core has waited 3 seconds beside hosts with <reason>
+    Then the runplacement log names <reason> for both hosts
+
+    Examples:
+      | reason                   |
+      | processors reserved      |
+      | processors in use        |
+      | memory reserved          |
+      | enough tasks of the step |
+      | has room                 |
--- a/tests/features/steps/runplacement_steps.py
+++ b/tests/features/steps/runplacement_steps.py
@@ -12,8 +12,9 @@
 from apricotpath.jobtable import JobTable, RunPhase
 from apricotpath.model import Size
 from apricotpath.runmoves import place_copies, serving_runs_to_consolidate, slow_runs
-from apricotpath.runplacement import Placement, PlacementInput, place
+from apricotpath.runplacement import Placement, PlacementInput, host_loads, place
 from apricotpath.runrecords import Assigned, Ended
+from apricotpath.waitreasons import long_waits
 from apricotpath.workload import HostFacts, Job, Queue, RunResult, Step, TaskKey
 
 CORE = 1000
@@ -432,3 +433,28 @@
 def place_image(context: Any, count: int, cores: int, image: str) -> None:
     context.case.add(step(count, cores, filler=True, image=image))
     context.case.place()
+
+
+@when("a task of 1 core has waited 3 seconds beside hosts with {reason}")
+def waits_beside(context: Any, reason: str) -> None:
+    case: PlacementCase = context.case
+    for host in "ab":
+        if reason == "processors reserved":
+            case.run(host, step(1, 3.5))
+        elif reason == "memory reserved":
+            case.run(host, Step(1, Size(CORE, 3950, 0), filler=True))
+        elif reason == "processors in use":
+            case.run(host, step(1, 5, filler=True))
+    limit = 1 if reason == "enough tasks of the step" else 0
+    job = case.add(step(3, 1, filler=reason == "processors in use", max_per_host=limit), 3.0)
+    if limit:
+        for index, host in enumerate("ab"):
+            case.table.apply(Assigned(TaskKey(job, 0, 0, index), 1, HostId(host), host, 1), NOW)
+
+
+@then("the runplacement log names {reason} for both hosts")
+def wait_logged(context: Any, reason: str) -> None:
+    case: PlacementCase = context.case
+    inputs = placement_input(case)
+    (wait,) = long_waits(case.table, inputs, host_loads(case.table, inputs))
+    assert wait["hosts"] == {reason: 2}, wait
