--- a/packages/core/src/apricotpath/jsonfields.py
+++ b/packages/core/src/apricotpath/jsonfields.py
@@ -33,10 +33,12 @@
     return value
 
 
-def to_str(value: Any, path: str) -> str:
-    """Return a string that can be encoded in UTF-8."""
+def to_str(value: Any, path: str, max_chars: int | None = None) -> str:
+    """Return a string that can be encoded in UTF-8, of at most `max_chars` characters."""
     if not isinstance(value, str):
         raise InputError(f"{path} is not a text", path=path)
+    if max_chars is not None and len(value) > max_chars:
+        raise InputError(f"{path} is longer than {max_chars} characters", path=path)
     if not value.isascii():
         try:
             value.encode()
--- a/tests/support/oddvalues.py
+++ b/tests/support/oddvalues.py
@@ -173,7 +173,7 @@
 # Rows in an executor's lists, which are parsed with the other rows of an answer.
 ODD_NUMBERS = [
     *(None, True, "7", [], {}, float("inf"), float("nan"), 2**63, 10**400, -1, 1.5),
-    *([[[[[[]]]]]], "\ud800"),
+    *([[[[[[]]]]]], "\ud800", LONG * "a"),
 ]
 ODD_RUNNING = [
     *ODD_NUMBERS,
