--- a/tests/features/platforminput.feature
+++ b/tests/features/platforminput.feature
@@ -27,6 +27,11 @@
       | has no ip           | ip        |
       | has a bad address   | address   |
       | has no port range   | portRange |
+      | has a port of 1e400 | portRange |
+      | has a port of 65536 | portRange |
+      | has a nested port   | portRange |
+      | has a high address  | address   |
+      | is nested deeply    | JSON      |
 
   # A label that is not valid Unicode, or a birth or a number far too large, was passed on.
   Scenario: platforminput refuses each malformed heartbeat
--- a/tests/features/steps/platforminput_steps.py
+++ b/tests/features/steps/platforminput_steps.py
@@ -126,6 +126,14 @@
 }
 
 
+UNREADABLE = {"is not JSON": "{", "is nested deeply": 100_000 * "["}
+ODD_PORTS = {
+    "has a port of 1e400": "1e400",
+    "has a port of 65536": "65536",
+    "has a nested port": 900 * "[" + 900 * "]",
+}
+
+
 @when("the platform's command starts with a settings file that {fault}")
 def start_command(context: Any, fault: str) -> None:
     body = dict(VALID_SETTINGS)
@@ -135,10 +143,15 @@
         body["platform"] = {"addr": "nowhere"}
     elif fault == "has no port range":
         body["portRange"] = []
+    elif fault == "has a high address":
+        body["platform"] = {"addr": "127.0.0.1:99999"}
+    text = json.dumps(body)
+    if fault in ODD_PORTS:
+        text = text.replace("7720", ODD_PORTS[fault])
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "settings.json"
         if fault != "does not exist":
-            path.write_text("{" if fault == "is not JSON" else json.dumps(body))
+            path.write_text(UNREADABLE.get(fault, text))
         errors = io.StringIO()
         with contextlib.redirect_stderr(errors):
             context.code = main(["entry", "--settings", str(path)])
