--- a/packages/daemon/src/apricotpathd/hosttracker.py
+++ b/packages/daemon/src/apricotpathd/hosttracker.py
@@ -266,7 +266,11 @@
             return
         now = boot_s()
         for answer in message.answers:
-            key = TaskKey.parse(answer.task)
+            try:
+                key = TaskKey.parse(answer.task)
+            except InputError as exc:
+                log.error("invalid answer of host %s: %s", host.host, exc)
+                continue
             run = self._table.by_host.get(host.host, {}).get((key, answer.run))
             if run is None:
                 continue
--- a/packages/daemon/src/apricotpathd/process.py
+++ b/packages/daemon/src/apricotpathd/process.py
@@ -9,7 +9,7 @@
 from anyio.abc import TaskGroup
 
 from apricotpath.codec import PROTOCOL_VERSION, Envelope
-from apricotpath.errors import LinkError
+from apricotpath.errors import InputError, LinkError
 from apricotpath.ids import DataCentreId, IncarnationId, ProcessId
 from apricotpath.link import Link
 from apricotpath.messages import DataCentreStatus, Heartbeat, Hello, Message
@@ -72,6 +72,8 @@
             except LinkError as exc:
                 # The link broke while the message was handled; its reader will close it.
                 log.info("message from %s not handled: %s", link.peer_id, exc)
+            except InputError as exc:
+                log.error("malformed message from %s ignored: %s", link.peer_id, exc)
 
     async def closed(self, link: Link) -> None:
         """Remove a closed link and notify every component."""
--- a/tests/features/oddvalues.feature
+++ b/tests/features/oddvalues.feature
@@ -54,3 +54,9 @@
       | host | a lone surrogate |
       | host | a long text      |
       | host | a text with zero |
+
+  # An answer to an order that names no task ended the scheduler's process.
+  Scenario: oddvalues takes the other answers beside one that names no task
+    Given an oddvalues world of 1 entries and 1 agents
+    When an agent of the oddvalues world answers orders of malformed names and refuses a real one
+    Then the oddvalues world has started the refused run again and completed its job
--- a/tests/features/steps/oddvalues_steps.py
+++ b/tests/features/steps/oddvalues_steps.py
@@ -8,12 +8,15 @@
 import anyio
 from behave import given, then, when
 
+from apricotpath.codec import MAX_FRAME
 from apricotpath.config import Address, LinkSettings
-from apricotpath.ids import DataCentreId, ProcessId
-from apricotpath.link import dial_forever
-from apricotpath.model import Role, Size
+from apricotpath.errors import LinkError
+from apricotpath.ids import DataCentreId, FenceToken, ProcessId, TaskId
+from apricotpath.link import Link, dial_forever
+from apricotpath.messages import Failure, OrderAnswer, OrderAnswers, StopRuns
+from apricotpath.model import Role, Size, StartAnswer
 from apricotpath.store import Put
-from apricotpath.workload import Step
+from apricotpath.workload import Step, TaskKey
 from apricotpathd.process import Process
 from support.jobworld import PREFIX, EntryNode, JobWorld, run_virtual
 from support.oddvalues import ODD_ENTRIES, ODD_JOBS, ODD_LEADERS, ODD_LOG_ENTRIES
@@ -202,6 +205,7 @@
     assert epochs[0] < epochs[-1], epochs
 
 
+ODD_TASK_NAMES = ["", "x", "x.0.0", "x.a.0.0", "x.0.0." + 5000 * "1"]
 ODD_HOSTS = {
     "a lone surrogate": "\ud800",
     "a long text": 300 * "a",
@@ -225,3 +229,54 @@
 @then("the oddvalues dialling has not ended")
 def check_dialling(context: Any) -> None:
     assert context.dialling
+
+
+@when("an agent of the oddvalues world answers orders of malformed names and refuses a real one")
+def answer_orders(context: Any) -> None:
+    async def act(case: OddCase) -> None:
+        world = case.world
+        agent = world.agents["host0"].agent
+        job = await world.submit(Step(1, CORE, 5.0))
+        while not agent.runs():
+            await anyio.sleep(0.01)
+        attached = agent.attachment
+        assert attached is not None
+        (task, run), *_ = agent.runs()
+        names = [*ODD_TASK_NAMES, task]
+        answers = tuple(OrderAnswer(TaskId(name), run, StartAnswer.REFUSED) for name in names)
+        attached.link.send_nowait(OrderAnswers(attached.fence, answers))
+        case.value = "names of tasks"
+        await anyio.sleep(0.5)
+        leader = world.leader()
+        assert leader is not None and leader.jobs.scheduler is not None
+        found = leader.jobs.scheduler.table.task(TaskKey.parse(task))
+        assert found is not None and found.last_run == run + 1, found
+        assert await world.wait_for_end(job, JOB_LIMIT_S) == "completed"
+
+    case_of(context).run(act)
+
+
+@then("the oddvalues world has started the refused run again and completed its job")
+def check_answers(context: Any) -> None:
+    assert case_of(context).value == "names of tasks"
+
+
+@when("a message with a number too large and one that is too long are sent over an oddvalues link")
+def send_unencodable(context: Any) -> None:
+    process = Process(Role.ENTRY, ProcessId("front-1"), DataCentreId("z1"))
+    link = Link(None, process.hello, LinkSettings(), process)  # type: ignore[arg-type]
+    link.is_open = True
+    context.refused = []
+    for message in (
+        StopRuns(FenceToken(2**70), ()),
+        Failure("code", 2 * MAX_FRAME * "a"),
+    ):
+        try:
+            link.send_nowait(message)
+        except LinkError as exc:
+            context.refused.append(str(exc))
+
+
+@then("the oddvalues link has refused both")
+def check_refused(context: Any) -> None:
+    assert len(context.refused) == 2, context.refused
