--- a/packages/core/src/apricotpath/link.py
+++ b/packages/core/src/apricotpath/link.py
@@ -136,21 +136,24 @@
             self._scope.cancel()
 
     async def send(self, body: Message, reply_to: int = 0) -> int:
-        """Queue a message and return its id; waits while the queue is full."""
+        """Queue a message and return its id; waits while the queue is full.
+
+        Raises LinkError if the link is closed or the message cannot be encoded.
+        """
         self._require_open()
         while len(self._outbox) >= self.cfg.send_queue:
             await self._outbox_drained.wait()
             self._require_open()
         number = self._allocate_id()
-        self._enqueue(encode(Envelope(number, reply_to, body)))
+        self._enqueue(Envelope(number, reply_to, body))
         return number
 
     def send_nowait(self, body: Message, reply_to: int = 0) -> None:
-        """Queue a message, or raise LinkError if the queue is full."""
+        """Queue a message; raises LinkError like `send`, and if the queue is full."""
         self._require_open()
         if len(self._outbox) >= self.cfg.send_queue:
             raise LinkError("the link's send queue is full")
-        self._enqueue(encode(Envelope(self._allocate_id(), reply_to, body)))
+        self._enqueue(Envelope(self._allocate_id(), reply_to, body))
 
     async def call(self, body: Message, timeout_s: float | None = None) -> Message:
         """Send a message and return the reply.
@@ -171,7 +174,7 @@
                     self._require_open()
                 number = self._allocate_id()
                 self._calls[number] = call
-                self._enqueue(encode(Envelope(number, 0, body)))
+                self._enqueue(Envelope(number, 0, body))
                 await call.done.wait()
         finally:
             self._calls.pop(number, None)
@@ -187,7 +190,11 @@
         if not self.is_open:
             raise LinkError(self._close_reason or "the link is closed")
 
-    def _enqueue(self, frame: bytes) -> None:
+    def _enqueue(self, envelope: Envelope) -> None:
+        try:
+            frame = encode(envelope)
+        except CodecError as exc:
+            raise LinkError(f"the message cannot be sent: {exc}") from exc
         self.frames_sent += 1
         self.last_queued_at = anyio.current_time()
         self._outbox.append(frame)
--- a/packages/daemon/src/apricotpathd/agenttasks.py
+++ b/packages/daemon/src/apricotpathd/agenttasks.py
@@ -11,7 +11,7 @@
 
 from apricotpath.codec import Envelope
 from apricotpath.config import AgentSettings
-from apricotpath.errors import CodecError, LinkError
+from apricotpath.errors import LinkError
 from apricotpath.ids import Epoch, IncarnationId, ShardId, TaskId
 from apricotpath.link import Link
 from apricotpath.messages import (
@@ -350,7 +350,7 @@
     def _send(self, link: Link, msg: Message, reply_to: int) -> None:
         try:
             link.send_nowait(msg, reply_to)
-        except (LinkError, CodecError) as exc:
+        except LinkError as exc:
             # The owner asks again or reads the next report.
             log.info("%s was not sent: %s", type(msg).__name__, exc)
 
--- a/tests/features/oddvalues.feature
+++ b/tests/features/oddvalues.feature
@@ -60,3 +60,8 @@
     Given an oddvalues world of 1 entries and 1 agents
     When an agent of the oddvalues world answers orders of malformed names and refuses a real one
     Then the oddvalues world has started the refused run again and completed its job
+
+  # A value that does not fit its field, or a message too long, ended the sender's process.
+  Scenario: oddvalues reports a message that cannot be encoded as an error of the link
+    When a message with a number too large and one that is too long are sent over an oddvalues link
+    Then the oddvalues link has refused both
