--- a/packages/core/src/apricotpath/journal.py
+++ b/packages/core/src/apricotpath/journal.py
@@ -1,6 +1,5 @@
 """Journal of one shard in the store: group commit, snapshots, replay."""
 
-import json
 import logging
 import random
 from collections import deque
@@ -20,6 +19,7 @@
     StoreUnavailable,
 )
 from apricotpath.ids import Epoch, ShardId
+from apricotpath.jsonfields import parse_object, read_int, read_list, read_str
 from apricotpath.jsontext import compact_json
 from apricotpath.store import (
     Compare,
@@ -49,6 +49,7 @@
 # How long a write that hits the store's rate limit is retried.
 LIMITED_WAIT_S = 5.0
 SEQ_DIGITS = 16
+MAX_SEQ = 10**SEQ_DIGITS - 1
 PART_DIGITS = 5
 
 Seq = NewType("Seq", int)
@@ -325,7 +326,7 @@
             kind, seq = self._parse_key(item.key)
             self._next = max(self._next, Seq(seq + 1))
             if kind == "snap":
-                parts.setdefault(seq, []).append(self._content(item))
+                parts.setdefault(seq, []).append(self._part(item))
             else:
                 entries.append((seq, item))
         for seq in sorted(parts, reverse=True):
@@ -411,13 +412,24 @@
 
     def _content(self, item: KeyValue) -> dict[str, Any]:
         try:
-            content = json.loads(item.value)
-            version = content["version"]
-        except (ValueError, KeyError, TypeError) as exc:
+            content = parse_object(item.value, "the journal value")
+            version = read_int(content, "version")
+            read_str(content, "token")
+            read_list(content, "records")
+        except InputError as exc:
             raise StoreError(f"the journal value {item.key} is malformed") from exc
         if version > JOURNAL_VERSION:
             raise StoreError(f"the journal value {item.key} has the newer version {version}")
-        assert isinstance(content, dict)
+        return content
+
+    def _part(self, item: KeyValue) -> dict[str, Any]:
+        """Return the content of a part of a snapshot."""
+        content = self._content(item)
+        try:
+            for name in ("part", "parts", "covers"):
+                read_int(content, name, low=0, high=MAX_SEQ)
+        except InputError as exc:
+            raise StoreError(f"the journal value {item.key} is malformed") from exc
         return content
 
 
--- a/packages/core/src/apricotpath/records.py
+++ b/packages/core/src/apricotpath/records.py
@@ -6,8 +6,9 @@
 from typing import Any, get_type_hints
 
 from apricotpath.config import build
-from apricotpath.errors import RecordError, SettingsError
+from apricotpath.errors import InputError, RecordError
 from apricotpath.ids import HostId, JobId, ProcessId, TaskId
+from apricotpath.jsonfields import to_number
 from apricotpath.model import JobSpec, TaskState
 
 RECORD_VERSION = 1
@@ -163,16 +164,18 @@
     body = dict(value)
     kind, version = body.pop("kind", None), body.pop("version", None)
     if version != RECORD_VERSION:
-        raise RecordError(f"journal record version {version!r} is not {RECORD_VERSION}")
+        # A nested value cannot be shown.
+        shown = version if isinstance(version, int | str) else "of another type"
+        raise RecordError(f"journal record version {shown} is not {RECORD_VERSION}")
     cls = KINDS.get(kind) if isinstance(kind, str) else None
     if cls is None:
-        raise RecordError(f"unknown kind of journal record: {kind!r}")
+        raise RecordError("unknown kind of journal record")
     names = {item.name for item in fields(cls)}
     if set(body) - names:
         raise RecordError(f"{kind}: unknown fields {sorted(set(body) - names)}")
     try:
         return cls(**{name: _convert_field(cls, name, item) for name, item in body.items()})
-    except (TypeError, ValueError, SettingsError) as exc:
+    except (TypeError, ValueError, InputError) as exc:
         raise RecordError(f"malformed journal record {kind}: {exc}") from exc
 
 
@@ -189,8 +192,8 @@
         return spec_from_json(value)
     if issubclass(hint, Enum):
         return hint(value)
-    if hint is float and isinstance(value, int) and not isinstance(value, bool):
-        return float(value)
+    if hint is float:
+        return float(to_number(value, name))
     if type(value) is not hint:
         raise ValueError(f"{name} must be a {hint.__name__}")
     return value
--- a/packages/core/src/apricotpath/store.py
+++ b/packages/core/src/apricotpath/store.py
@@ -1,6 +1,5 @@
 """Adapter to the platform's key-value service, the etcd v3 JSON gateway."""
 
-import json
 import math
 from base64 import b64decode, b64encode
 from collections import Counter
@@ -16,12 +15,14 @@
 
 from apricotpath.config import StoreSettings
 from apricotpath.errors import (
+    InputError,
     StoreError,
     StoreLeaseEnded,
     StoreLimited,
     StoreOutcomeUnknown,
     StoreUnavailable,
 )
+from apricotpath.jsonfields import parse_json, parse_object, read_int, read_str
 
 LeaseId = NewType("LeaseId", int)
 
@@ -150,8 +151,8 @@
 def has_token(value: bytes, token: str) -> bool:
     """Tell whether a JSON value carries a writer token."""
     try:
-        content = json.loads(value)
-    except ValueError:
+        content = parse_json(value, "the value")
+    except InputError:
         return False
     return isinstance(content, dict) and content.get("token") == token
 
@@ -367,7 +368,7 @@
                         yield event
         except (httpx.TransportError, OSError) as exc:
             raise StoreUnavailable(f"the watch of {prefix} was cut: {exc}") from exc
-        except (ValueError, KeyError, TypeError) as exc:
+        except (InputError, ValueError, KeyError, TypeError, AttributeError) as exc:
             raise StoreUnavailable(f"the watch of {prefix} sent a malformed line: {exc}") from exc
         raise StoreUnavailable(f"the watch of {prefix} was cut")
 
@@ -395,19 +396,16 @@
         if response.status_code != 200:
             _raise_for(response, kind)
         try:
-            answer = response.json()
-            if not isinstance(answer, dict):
-                raise ValueError("not an object")
-        except ValueError as exc:
+            return parse_object(response.content, "the answer")
+        except InputError as exc:
             raise StoreOutcomeUnknown(f"the store's answer to {kind} is malformed") from exc
-        return answer
 
 
 def _raise_for(response: httpx.Response, kind: str) -> None:
     try:
-        answer = response.json()
-        code, text = int(answer.get("code", 0)), str(answer.get("message", ""))
-    except (ValueError, AttributeError, TypeError):
+        answer = parse_object(response.content, "the answer")
+        code, text = read_int(answer, "code", 0), read_str(answer, "message", "")
+    except InputError:
         code, text = 0, ""
     reason = f"the store answered {response.status_code} to {kind}: {text}"
     if response.status_code == 429 or code == GRPC_RESOURCE_EXHAUSTED:
@@ -461,7 +459,7 @@
 def _watch_events(line: str) -> Iterator[WatchEvent]:
     if not line.strip():
         return
-    content = json.loads(line)
+    content = parse_object(line, "a watch event")
     result = content.get("result")
     if result is None or result.get("canceled"):
         raise StoreUnavailable(f"the store ended a watch: {line[:200]}")
--- a/packages/core/src/apricotpath/worker.py
+++ b/packages/core/src/apricotpath/worker.py
@@ -1,6 +1,5 @@
 """Client for the platform's worker on the same host."""
 
-import json
 from dataclasses import MISSING, dataclass, fields, is_dataclass
 from enum import Enum
 from functools import cache
@@ -10,8 +9,9 @@
 import anyio
 import httpx
 
-from apricotpath.errors import WorkerRefused, WorkerUnavailable
+from apricotpath.errors import InputError, WorkerRefused, WorkerUnavailable
 from apricotpath.ids import Epoch, ShardId, TaskId, TeamId
+from apricotpath.jsonfields import parse_object, to_number
 from apricotpath.model import Outcome, RunState, Size, TaskClass
 
 T = TypeVar("T")
@@ -151,10 +151,13 @@
         return _convert_fields(hint, value)
     if issubclass(hint, Enum):
         return hint(value)
-    if hint is float and isinstance(value, int):
-        value = float(value)
+    if hint is float and not isinstance(value, bool):
+        try:
+            value = float(to_number(value, "the value"))
+        except InputError as exc:
+            raise ValueError(str(exc)) from exc
     if not isinstance(value, hint) or isinstance(value, bool) is not (hint is bool):
-        raise ValueError(f"expected {hint.__name__}, not {value!r}")
+        raise ValueError(f"expected {hint.__name__}, not {type(value).__name__}")
     return value
 
 
@@ -253,7 +256,6 @@
 
 def _parse(content: bytes) -> dict[str, Any] | None:
     try:
-        answer = json.loads(content)
-    except ValueError:
+        return parse_object(content, "the worker's answer")
+    except InputError:
         return None
-    return answer if isinstance(answer, dict) else None
--- a/packages/daemon/src/apricotpathd/members.py
+++ b/packages/daemon/src/apricotpathd/members.py
@@ -14,14 +14,16 @@
 import anyio
 
 from apricotpath.codec import Envelope
-from apricotpath.config import Address, EntrySettings
+from apricotpath.config import MAX_PORT, Address, EntrySettings
 from apricotpath.errors import (
     ConflictError,
+    InputError,
     StoreError,
     StoreLimited,
     StoreUnavailable,
 )
 from apricotpath.ids import DataCentreId, EntryId, Epoch, IncarnationId, ServiceId, ShardId
+from apricotpath.jsonfields import parse_object, read_bool, read_int, read_list, read_str, to_str
 from apricotpath.link import Link
 from apricotpath.messages import DataCentreStatus, Message
 from apricotpath.model import ServiceState
@@ -550,22 +552,26 @@
     )
 
 
+# Fencing of shards compares epochs only, so any that fit a message will do.
+MAX_EPOCH = 1 << 62
+
+
 def _parse(item: KeyValue, build: Callable[[str, dict[str, Any], int], T]) -> T | None:
     """Return the record in a value, or None if it is malformed."""
     name = item.key.rpartition("/")[2]
     try:
-        return build(name, json.loads(item.value), item.mod_revision)
-    except (ValueError, KeyError, TypeError, AttributeError) as exc:
-        log.error("the value of %s in the store is malformed: %r", item.key, exc)
+        return build(name, parse_object(item.value, "the value"), item.mod_revision)
+    except (InputError, ValueError) as exc:
+        log.error("the value of %s in the store is malformed: %s", item.key, exc)
         return None
 
 
 def _entry(name: str, content: dict[str, Any], revision: int) -> EntryRecord:
     return EntryRecord(
         EntryId(name),
-        IncarnationId(str(content["incarnation"])),
-        Address(str(content["host"]), int(content["port"])),
-        DataCentreId(str(content["data_centre"])),
+        IncarnationId(read_str(content, "incarnation")),
+        Address(read_str(content, "host"), read_int(content, "port", low=1, high=MAX_PORT)),
+        DataCentreId(read_str(content, "data_centre")),
         revision,
     )
 
@@ -573,22 +579,24 @@
 def _shard(name: str, content: dict[str, Any], revision: int) -> ShardOwner:
     return ShardOwner(
         ShardId(int(name)),
-        EntryId(str(content["owner"])),
-        IncarnationId(str(content["incarnation"])),
-        Epoch(int(content["epoch"])),
+        EntryId(read_str(content, "owner")),
+        IncarnationId(read_str(content, "incarnation")),
+        Epoch(read_int(content, "epoch", low=0, high=MAX_EPOCH)),
         revision,
-        bool(content.get("settled", False)),
+        read_bool(content, "settled", False),
     )
 
 
 def _status(name: str, content: dict[str, Any], revision: int) -> DataCentreStatus:
-    state = ServiceState(content["state"])
-    return DataCentreStatus(DataCentreId(name), int(content["seq"]), state)
+    state = ServiceState(read_str(content, "state"))
+    return DataCentreStatus(DataCentreId(name), read_int(content, "seq", low=0), state)
 
 
 def _bundle(name: str, content: dict[str, Any], revision: int) -> tuple[int, bytes]:
-    return int(content["version"]), b64decode(content["envelope"], validate=True)
+    envelope = b64decode(read_str(content, "envelope"), validate=True)
+    return read_int(content, "version", low=0), envelope
 
 
 def _founders(name: str, content: dict[str, Any], revision: int) -> tuple[IncarnationId, ...]:
-    return tuple(IncarnationId(str(item)) for item in content["founders"])
+    founders = read_list(content, "founders")
+    return tuple(IncarnationId(to_str(item, "founders")) for item in founders)
--- a/packages/daemon/src/apricotpathd/services.py
+++ b/packages/daemon/src/apricotpathd/services.py
@@ -271,10 +271,12 @@
 
 
 MAX_LIST_LIMIT = 10_000
+MAX_LIMIT_DIGITS = 10
 
 
 def _limit(query: Mapping[str, str]) -> int:
     text = query.get("limit", "100")
-    if not text.isdigit() or not 1 <= int(text) <= MAX_LIST_LIMIT:
+    is_number = text.isascii() and text.isdecimal() and len(text) <= MAX_LIMIT_DIGITS
+    if not is_number or not 1 <= int(text) <= MAX_LIST_LIMIT:
         raise InputError(f"limit must be from 1 to {MAX_LIST_LIMIT}, not {text!r}")
     return int(text)
--- a/tests/features/platforminput.feature
+++ b/tests/features/platforminput.feature
@@ -15,6 +15,14 @@
       | holding       |
       | settings      |
       | store answer  |
+      | entry         |
+      | leader        |
+      | stored job    |
+      | run log       |
+      | control keys  |
+      | writer token  |
+      | journal       |
+      | worker answer |
 
   Scenario Outline: platforminput refuses a settings file that <fault> with one sentence
     When the platform's command starts with a settings file that <fault>
--- a/tests/features/steps/platforminput_steps.py
+++ b/tests/features/steps/platforminput_steps.py
@@ -6,6 +6,7 @@
 import tempfile
 from collections.abc import Callable
 from dataclasses import replace
+from functools import cache
 from pathlib import Path
 from typing import Any
 
@@ -14,10 +15,19 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from apricotpath.errors import InputError, SettingsError, StoreError
+from apricotpath import worker
+from apricotpath.config import PolicySettings, StoreSettings
+from apricotpath.entryrecords import EntryRecord, LeaderRecord
+from apricotpath.errors import InputError, RecordError, SettingsError, StoreError
 from apricotpath.executor import ExecutorError
-from apricotpath.ids import JobId, QueueId, TaskId
+from apricotpath.ids import Epoch, JobId, QueueId, ShardId, TaskId
+from apricotpath.jobcodec import parse_job
+from apricotpath.journal import Journal
 from apricotpath.messages import RunEnding, RunStatus
+from apricotpath.records import from_json
+from apricotpath.runlog import decode_records
+from apricotpath.store import EtcdStore, KeyValue, LeaseId, has_token
+from apricotpath.worker import from_json_value
 from apricotpath.workload import RunResult
 from apricotpath_platform import executorcalls, store
 from apricotpath_platform.cmdline import main
@@ -25,12 +35,14 @@
 from apricotpath_platform.jobrequests import parse_submission
 from apricotpath_platform.operatorview import parse_configuration
 from apricotpath_platform.settings import load_node_settings
+from apricotpathd.members import build_view
 from support.oddvalues import (
     HEARTBEAT,
     ODD_ENDED,
     ODD_HEARTBEATS,
     ODD_RUN_DETAILS,
     ODD_RUNNING,
+    ODD_VALUES,
     raw_object,
 )
 
@@ -73,6 +85,33 @@
             read(data)
 
 
+def read_control_keys(data: bytes) -> None:
+    """Read a value under each control key; malformed ones are left out."""
+    for name in ("bundle/current", "dc/a", "entry/a", "service/a", "shard/1"):
+        item = KeyValue(f"p/{name}", data, 1, LeaseId(0))
+        build_view([item], "p/", 1, 0.0)
+
+
+@cache
+def journal() -> Journal:
+    store = EtcdStore(StoreSettings("http://127.0.0.1:1"))
+    return Journal(store, ShardId(1), Epoch(1), 1, PolicySettings())
+
+
+def read_journal(data: bytes) -> None:
+    """Read a value of the journal, and each record in it."""
+    content = journal()._content(KeyValue("journal", data, 1, LeaseId(0)))
+    for row in content["records"]:
+        with contextlib.suppress(RecordError):
+            from_json(row)
+
+
+def read_worker(data: bytes) -> None:
+    answer = worker._parse(data)
+    if answer is not None:
+        from_json_value(worker.WorkerTask, answer)
+
+
 READERS: dict[str, tuple[Callable[[bytes], Any], type[Exception]]] = {
     "submission": (lambda data: parse_submission(JobId("a"), QueueId("q"), data), InputError),
     "configuration": (parse_configuration, InputError),
@@ -83,6 +122,14 @@
     ),
     "settings": (read_settings, SettingsError),
     "store answer": (read_store, StoreError),
+    "entry": (EntryRecord.parse, InputError),
+    "leader": (LeaderRecord.parse, InputError),
+    "stored job": (parse_job, InputError),
+    "run log": (lambda data: decode_records(KeyValue("log", data, 1, LeaseId(0))), InputError),
+    "control keys": (read_control_keys, InputError),
+    "writer token": (lambda data: has_token(data, "token"), InputError),
+    "journal": (read_journal, StoreError),
+    "worker answer": (read_worker, ValueError),
 }
 
 
@@ -99,6 +146,9 @@
         suppress_health_check=list(HealthCheck),
     )
     @given(st.binary(max_size=40) | OBJECTS.map(lambda value: json.dumps(value).encode()))
+    def check_random(data: bytes) -> None:
+        check(data)
+
     def check(data: bytes) -> None:
         try:
             read(data)
@@ -107,7 +157,9 @@
         except Exception as exc:
             context.failures.append((data[:300], repr(exc)))
 
-    check()
+    check_random()
+    for data in ODD_VALUES:
+        check(data)
 
 
 @then("the platforminput parser returned a value or raised its own error each time")
--- a/tests/support/oddvalues.py
+++ b/tests/support/oddvalues.py
@@ -249,3 +249,45 @@
 }
 # Without occurrences, a job runs once.
 del ODD_SUBMISSIONS["no times"]
+
+ODD_CONTROL_VALUES = odd_records(
+    {
+        "version": "1",
+        "token": '"t"',
+        "incarnation": '"x"',
+        "host": '"127.0.0.1"',
+        "port": "1",
+        "data_centre": '"z1"',
+        "owner": '"x"',
+        "epoch": "1",
+        "state": '"open"',
+        "seq": "1",
+        "envelope": '"e30="',
+        "founders": "[]",
+        "records": '[{"kind":"TaskEnded","version":1}]',
+    },
+    {
+        "version": NOT_A_COUNT,
+        "token": NOT_A_TEXT,
+        "port": NOT_A_PORT,
+        "epoch": NOT_A_COUNT,
+        "settled": {"null": "null", "a number": "1"},
+        "seq": NOT_A_COUNT,
+        "state": NOT_A_TEXT,
+        "envelope": NOT_A_TEXT | {"no base64": '"?"'},
+        "founders": NOT_A_TEXT | {"[1]": "[1]"},
+        "records": NOT_A_TEXT
+        | {f"version {value}": f'[{{"version":{value}}}]' for value in NOT_A_COUNT.values()}
+        | {f"kind {value}": f'[{{"version":1,"kind":{value}}}]' for value in NOT_A_TEXT.values()},
+    },
+)
+# All of the values above, for readers that must fail with their own error only.
+ODD_VALUES = [
+    *ODD_ENTRIES.values(),
+    *ODD_LEADERS.values(),
+    *ODD_JOBS.values(),
+    *ODD_LOG_ENTRIES.values(),
+    *ODD_HEARTBEATS.values(),
+    *ODD_SUBMISSIONS.values(),
+    *ODD_CONTROL_VALUES.values(),
+]
