--- a/packages/core/src/apricotpath/link.py
+++ b/packages/core/src/apricotpath/link.py
@@ -138,7 +138,10 @@
             self._scope.cancel()
 
     async def send(self, body: Message, reply_to: int = 0) -> int:
-        """Queue a message and return its id; waits while the queue is full."""
+        """Queue a message and return its id; waits while the queue is full.
+
+        Raises LinkError if the link is closed or the message cannot be encoded.
+        """
         self._require_open()
         while len(self._outbox) >= self.cfg.send_queue:
             await self._outbox_drained.wait()
@@ -148,7 +151,7 @@
         return number
 
     def send_nowait(self, body: Message, reply_to: int = 0) -> None:
-        """Queue a message, or raise LinkError if the queue is full."""
+        """Queue a message; raises LinkError like `send`, and if the queue is full."""
         self._require_open()
         if len(self._outbox) >= self.cfg.send_queue:
             raise LinkError("the link's send queue is full")
@@ -190,7 +193,10 @@
             raise LinkError(self._close_reason or "the link is closed")
 
     def _enqueue(self, envelope: Envelope) -> None:
-        frame = encode(envelope)
+        try:
+            frame = encode(envelope)
+        except CodecError as exc:
+            raise LinkError(f"the message cannot be sent: {exc}") from exc
         self.frames_sent += 1
         self.traffic.sent[type(envelope.body).__name__] += len(frame)
         self.last_queued_at = anyio.current_time()
