--- a/tests/features/replacements.feature
+++ b/tests/features/replacements.feature
@@ -80,6 +80,67 @@
       | is killed for good                            | 14.5  |
       | was replaced 3 seconds before                 | 7     |
 
+  # A late notice of an earlier incarnation made the scheduler stop the serving tasks of a sound executor.
+  Scenario: replacements stop no task when a late deregistration arrives long before the next heartbeat
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When a late deregistration arrives at the agent of the host with most tasks
+    And that host's executor sends no heartbeat for 1.5 seconds
+    Then no run of the replacements was stopped
+
+  # A heartbeat that the notice has overtaken undid the agent's knowledge of its executor's end.
+  Scenario: replacements run a task again soon when the last heartbeat arrives after the deregistration
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the executor of the host with most tasks shuts down without time to stop them
+    And that host's last heartbeat arrives after the deregistration
+    Then no task of the replacements was down for longer than 1.5 seconds
+    And no task of the replacements ran twice at the same time
+
+  # A hold was cut when a host attached, although its executor had not seen the new fencing token
+  # and its next agent followed the former scheduler, which still granted leases.
+  Scenario: replacements run no task twice when an agent restarts right after it has attached
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When an agent attaches to the next scheduler, restarts and then hears only the former one
+    Then no task of the replacements ran twice at the same time
+
+  # Each of two draining entries took the other for one that stays, and neither scheduled.
+  Scenario: replacements keep a scheduler when the store refuses the writes of entries that drain
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When all entries restart in turn, 1 second apart, and the store refuses the write of each that it drains
+    Then the replacements had a scheduler all the time, but for 0.5 seconds
+
+  # A scheduler that shut down while the store was away ended its term although nobody could be elected.
+  Scenario: replacements keep all runs when the scheduler is told to stop during an outage of the store
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the scheduler is told to stop while the store is away for 7 seconds
+    Then no run of the replacements was stopped
+
+  # Each scheduler began the hold of a lost host anew.
+  Scenario: replacements run the tasks of a lost host again after its lease while schedulers follow one another
+    Given a world of replacements with 3 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the host with most tasks is lost while the scheduler stays
+    And all entries restart in turn, 3 seconds apart, each serving for 2 more seconds
+    Then no task of the replacements was down for longer than 7 seconds
+
+  # Stops without an answer were repeated at a dead executor for as long as the agent lived.
+  Scenario: replacements call an executor no more once it has ended
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the executor of the host with most tasks drains, answers nothing for 1 second and shuts down
+    Then that executor was not called from 1 second after its end on
+
+  # Each repeated stop order added one more loop of calls, which use up the connections of lease renewals.
+  Scenario: replacements stop each run of a silent executor with one call at a time
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the executor of the host with most tasks drains, answers nothing for 5 seconds and shuts down
+    Then that executor got at most one stop of each run at a time
+
   # Incident inc1: tasks were down for over 13 seconds.
   Scenario: replacements run tasks again soon while executors are replaced and entries restart in turn
     Given a world of replacements with 3 entries and 8 hosts
--- a/tests/features/steps/replacements_steps.py
+++ b/tests/features/steps/replacements_steps.py
@@ -1,6 +1,7 @@
 """Steps for replacements.feature; the world runs in virtual time at the first check."""
 
 import random
+from collections import Counter
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -8,9 +9,11 @@
 from behave import given, then, when
 
 from apricotpath.boottime import boot_s
+from apricotpath.executor import ExecutorUnavailable, ExecutorUnreachable
 from apricotpath.ids import JobId
 from apricotpath.model import Size
 from apricotpath.workload import Step
+from apricotpathd.attachment import ExecutorPhase
 from support.jobworld import JobWorld, run_virtual
 
 CORE = Size(1000, 100, 0)
@@ -45,6 +48,8 @@
         self.without_scheduler_s = 0.0
         self.violations: list[str] = []
         self.replaced: set[int] = set()
+        self.late_calls = 0
+        self.most_stops = 0
         self._world: JobWorld | None = None
         self._ran = False
 
@@ -139,6 +144,18 @@
         again = self.world.add_agent(name, HOST)
         again.sends_heartbeats, again.drain_until = node.sends_heartbeats, node.drain_until
 
+    async def restart_entry_unmarked(self, name: str) -> None:
+        """Shut an entry down whose write that it drains is refused, and start it again."""
+        node = self.world.entries[name]
+        node.store.faults.down = True
+        await node.process.drain()
+        node.store.faults.down = False
+        await anyio.sleep(4.5)
+        await node.jobs.resign()
+        await self.world.kill(node)
+        await anyio.sleep(RESTART_DELAY_S)
+        self.world.add_entry(name, agents_link_after_s=LOOKUP_S)
+
     async def restart_entry(self, name: str, serving_s: float) -> None:
         """Shut an entry down gracefully and start it again."""
         await self.world.stop_entry(name, serving_s)
@@ -332,6 +349,153 @@
     scenario(context).background.append(act)
 
 
+@when("that host's executor sends no heartbeat for {silent_s:g} seconds")
+def pause_heartbeats(context: Any, silent_s: float) -> None:
+    async def act(run: Replacements) -> None:
+        node = run.world.agents[run.busiest]
+        node.sends_heartbeats = False
+        await anyio.sleep(silent_s)
+        node.sends_heartbeats = True
+
+    scenario(context).background.append(act)
+
+
+@when("that host's last heartbeat arrives after the deregistration")
+def late_heartbeat(context: Any) -> None:
+    async def act(run: Replacements) -> None:
+        agent = run.world.agents[run.busiest].agent
+        while agent.phase is ExecutorPhase.REGISTERED:
+            await anyio.sleep(0.001)
+        assert agent.phase is ExecutorPhase.DEREGISTERED and agent.state is not None
+        agent.on_executor_heartbeat(agent.state)
+
+    scenario(context).background.append(act)
+
+
+@when("an agent attaches to the next scheduler, restarts and then hears only the former one")
+def follow_former(context: Any) -> None:
+    async def act(run: Replacements) -> None:
+        world, host = run.world, run.busiest
+        former = world.leader()
+        assert former is not None
+        other = next(name for name, node in world.entries.items() if node is not former)
+        former.store.faults.silent = True
+        world.partitioned_pairs.add(frozenset(world.entries))
+        agent = world.agents[host].agent
+        # The executor does not answer for a moment, so that it does not see the new token.
+        await anyio.sleep(1.0)
+        executor: Any = agent.executor
+        executor.unresponsive = True
+        with anyio.fail_after(5):
+            while agent.attachment is None or agent.attachment.epoch < 2:
+                await anyio.sleep(0.001)
+        world.partitioned_pairs.add(frozenset({host, other}))
+        await run.restart_agent(host, 0.2)
+
+    scenario(context).background.append(act)
+
+
+@when(
+    "all entries restart in turn, {gap_s:g} second apart, "
+    "and the store refuses the write of each that it drains"
+)
+def restart_unmarked(context: Any, gap_s: float) -> None:
+    async def act(run: Replacements) -> None:
+        leader = run.world.leader()
+        async with anyio.create_task_group() as group:
+            entries = run.world.entries
+            for name in sorted(entries, key=lambda name: entries[name] is not leader):
+                group.start_soon(run.restart_entry_unmarked, name)
+                await anyio.sleep(gap_s)
+
+    scenario(context).background.append(act)
+
+
+@when("the scheduler is told to stop while the store is away for {away_s:g} seconds")
+def stop_during_outage(context: Any, away_s: float) -> None:
+    async def act(run: Replacements) -> None:
+        leader = run.world.leader()
+        assert leader is not None
+        nodes = list(run.world.entries.values())
+        for node in nodes:
+            node.store.faults.down = True
+        async with anyio.create_task_group() as group:
+            await anyio.sleep(0.5)
+            group.start_soon(run.restart_entry, leader.process.hello.process_id, 4.5)
+            await anyio.sleep(away_s - 0.5)
+            for node in nodes:
+                node.store.faults.down = False
+
+    scenario(context).background.append(act)
+
+
+class CallCounter:
+    """Counts the calls of an executor: stops of one run at a time, and calls after its end."""
+
+    def __init__(self, run: Replacements, executor: Any) -> None:
+        self.run, self.stops = run, Counter[Any]()
+        self.ended_at = float("inf")
+        for name in ("renew_lease", "start", "stop", "pace"):
+            setattr(executor, name, self._counted(name, getattr(executor, name)))
+
+    def _counted(self, name: str, call: Any) -> Any:
+        async def counted(*args: Any) -> Any:
+            if boot_s() > self.ended_at + 1.0:
+                self.run.late_calls += 1
+            if name != "stop":
+                return await call(*args)
+            self.stops[args[:2]] += 1
+            self.run.most_stops = max(self.run.most_stops, *self.stops.values())
+            try:
+                return await call(*args)
+            finally:
+                self.stops[args[:2]] -= 1
+
+        return counted
+
+
+@when(
+    "the executor of the host with most tasks drains, answers nothing for {silent_s:d} "
+    "{unit} and shuts down"
+)
+def drain_silently(context: Any, silent_s: int, unit: str) -> None:
+    async def act(run: Replacements) -> None:
+        node = run.world.agents[run.busiest]
+        executor: Any = node.agent.executor
+        counter = CallCounter(run, executor)
+        # Known to be draining before it is silent.
+        node.drain_until = boot_s() + silent_s
+        executor.stop = counter._counted("stop", silent_stop)
+        await anyio.sleep(silent_s)
+        await run.shut_down_executor(run.busiest)
+        executor.stop = counter._counted("stop", refused_stop)
+        counter.ended_at = boot_s()
+
+    scenario(context).background.append(act)
+
+
+async def silent_stop(*args: Any) -> None:
+    await anyio.sleep(0.5)
+    raise ExecutorUnavailable("no answer")
+
+
+async def refused_stop(*args: Any) -> None:
+    await anyio.sleep(0.002)
+    raise ExecutorUnreachable("the connection was refused")
+
+
+@then("that executor was not called from 1 second after its end on")
+def not_called(context: Any) -> None:
+    scenario(context).run()
+    assert scenario(context).late_calls == 0, scenario(context).late_calls
+
+
+@then("that executor got at most one stop of each run at a time")
+def one_stop(context: Any) -> None:
+    scenario(context).run()
+    assert scenario(context).most_stops == 1, scenario(context).most_stops
+
+
 @when(
     "all entries restart in turn, {gap_s:g} seconds apart, "
     "each serving for {serving_s:g} more seconds"
@@ -366,8 +530,17 @@
     assert run.longest_down_s and not late, late
 
 
+@then("no run of the replacements was stopped")
+def none_stopped(context: Any) -> None:
+    scenario(context).run()
+    models = [node.model for node in scenario(context).world.agents.values()]
+    ended = [entry for model in models for entry in model.history]
+    assert not ended, ended
+
+
 @then("no task of the replacements ran twice at the same time")
 def none_twice(context: Any) -> None:
+    scenario(context).run()
     assert scenario(context).violations == [], scenario(context).violations
 
 
