--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -83,7 +83,7 @@
         self._changed = anyio.Event()
         self._vacant_since = float("inf")
         self._term_scope: anyio.CancelScope | None = None
-        self._resigned = False
+        self._resigned = self._drain_stored = False
         self._released = anyio.Event()
         self._released.set()
         root = f"{cfg.prefix}ctl/"
@@ -134,7 +134,10 @@
 
     def _hand_over_if_possible(self) -> None:
         """End this entry's term if it is draining and another entry can lead."""
-        if self.draining and self._term_scope is not None and self._has_peer_that_stays():
+        # While the store cannot be written, no other entry could be elected.
+        if not self._drain_stored or self._term_scope is None:
+            return
+        if self._has_peer_that_stays():
             log.info("leadership handed over")
             self._term_scope.cancel()
 
@@ -170,8 +173,9 @@
                         log.warning("store lease ended", extra={"lease": self._lease})
                         self._lease = None
                         continue
-                    elif self.mirror.loaded.is_set() and self._registration_missing():
+                    elif self.mirror.loaded.is_set() and self._registration_outdated():
                         await self._register(self._lease)
+                        self._hand_over_if_possible()
                 if not scope.cancelled_caught:
                     self.last_store_contact_at = started
             except StoreLeaseEnded:
@@ -180,13 +184,15 @@
                 log.info("store lease not renewed: %s", exc)
             await anyio.sleep(max(RETRY_S, self.cfg.renew_s - (boot_s() - started)))
 
-    def _registration_missing(self) -> bool:
-        """Tell whether this entry's key was deleted although its lease is alive."""
-        return self.presence_key not in self.mirror.items
+    def _registration_outdated(self) -> bool:
+        """Tell whether this entry's key was deleted, or does not show that it is draining."""
+        record = self.entry_records.read(self.mirror.items.get(self.presence_key))
+        return record is None or record.draining != self.draining
 
     async def _register(self, lease: LeaseId) -> None:
         record = EntryRecord(self._address, self.cfg.cores, self._incarnation, self.draining)
         await self.store.txn([], [Put(self.presence_key, record.encode(), lease)])
+        self._drain_stored = record.draining
 
     async def _campaign(self) -> None:
         """Acquire the leadership whenever it is vacant, and serve each term."""
