--- a/packages/daemon/src/apricotpathd/hosttracker.py
+++ b/packages/daemon/src/apricotpathd/hosttracker.py
@@ -118,8 +118,7 @@
             frozenset(message.labels),
             message.capacity,
         )
-        # The agent takes no more grants of an earlier term or attachment.
-        host.runs_until = now + self._cfg.run_hold_s
+        host.runs_until = max(host.runs_until, now + self._cfg.run_hold_s)
         self.links[name] = link
         log.info(
             "host attached",
@@ -165,6 +164,8 @@
                 self._wake()
         if message.complete:
             host.reported = True
+            # The executor has seen the new fencing token, so nobody renews older leases.
+            host.runs_until = now + self._cfg.run_hold_s
             self._send_traits(host, link)
             self._wake()
 
