--- a/packages/daemon/src/apricotpathd/attachment.py
+++ b/packages/daemon/src/apricotpathd/attachment.py
@@ -25,7 +25,8 @@
     """What the agent knows about the existence of its executor.
 
     A deregistered executor may still answer: it is about to end, or the notice is a delayed
-    one of its earlier incarnation. Nothing runs on an ended one.
+    one of its earlier incarnation. It counts as ended, with nothing running, once its address
+    refuses connections.
     """
 
     REGISTERED = "registered"
@@ -72,6 +73,8 @@
     renewal_failed: bool = False
     reported_runs: set[tuple[TaskId, int]] = field(default_factory=set)
     views: dict[tuple[TaskId, int], RunView] = field(default_factory=dict)
+    # Runs with an unanswered stop call; the event is set when the calls end.
+    stopping: dict[tuple[TaskId, int], anyio.Event] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.settled.set()
--- a/packages/daemon/src/apricotpathd/hostagent.py
+++ b/packages/daemon/src/apricotpathd/hostagent.py
@@ -108,9 +108,6 @@
             self._endings = ()
             self.phase = ExecutorPhase.REGISTERED
             self._detach("the executor has restarted")
-        elif self.phase is ExecutorPhase.DEREGISTERED:
-            log.info("executor registered again", extra={"instance": state.facts.instance})
-            self.phase = ExecutorPhase.REGISTERED
         if previous is None or state.draining != previous.draining:
             log.info("executor state", extra={"draining": state.draining})
         self._signal()
@@ -132,9 +129,7 @@
     @property
     def _draining(self) -> bool:
         """Whether the executor takes no new runs."""
-        return (
-            self.state is None or self.state.draining or self.phase is not ExecutorPhase.REGISTERED
-        )
+        return not self.has_executor or (self.state is not None and self.state.draining)
 
     def _detach(self, reason: str) -> None:
         if self.attachment is not None:
@@ -410,8 +405,18 @@
         return StartAnswer.REFUSED
 
     async def _stop(self, attached: Attachment, task: TaskId, run: int) -> None:
-        """Stop a run, with retries until the executor has answered."""
-        while attached is self.attachment and self.executor is not None:
+        """Stop a run, with retries until the executor has answered or has ended."""
+        stopping = attached.stopping.get((task, run))
+        if stopping is not None:
+            await stopping.wait()
+            return
+        stopping = attached.stopping[task, run] = anyio.Event()
+        await self._stop_until_answered(attached, task, run)
+        del attached.stopping[task, run]
+        stopping.set()
+
+    async def _stop_until_answered(self, attached: Attachment, task: TaskId, run: int) -> None:
+        while attached is self.attachment and self.executor is not None and self.has_executor:
             try:
                 await self.executor.stop(task, run, attached.fence)
                 return
@@ -502,9 +507,15 @@
 
         Returns at once if the executor stays: the next process of this agent continues the runs.
         """
-        while self.state is not None and self._draining and not self._end_reported():
+        while self._awaits_end() and not self._end_reported():
             await self.changed.wait()
 
+    def _awaits_end(self) -> bool:
+        """Tell whether the executor has announced its end."""
+        if self.state is None:
+            return False
+        return self.state.draining or self.phase is not ExecutorPhase.REGISTERED
+
     def _end_reported(self) -> bool:
         """Tell whether the scheduler has answered the final report on an ended executor."""
         attached = self.attachment
