--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -11,7 +11,7 @@
 from apricotpath.config import Address
 from apricotpath.entryrecords import EntryRecord, LeaderRecord, RecordReader, next_epoch
 from apricotpath.errors import StoreError, StoreLeaseEnded, StoreOutcomeUnknown
-from apricotpath.ids import Epoch, IncarnationId, ProcessId
+from apricotpath.ids import Epoch, HostId, IncarnationId, ProcessId
 from apricotpath.mirror import Mirror, WatchableStore
 from apricotpath.store import Compare, Delete, LeaseId, Put
 
@@ -44,7 +44,8 @@
     `epoch_revision` is the mod revision of the epoch key; a write that compares
     it fails once a later term has begun. `predecessor` is the leader of the
     previous term, if any; `predecessor_ended` is set once that leader certainly
-    does nothing any more in its term.
+    does nothing any more in its term. `holds` is filled when the term ends, see
+    `LeaderRecord`.
     """
 
     epoch: Epoch
@@ -52,6 +53,7 @@
     epoch_revision: int
     predecessor: LeaderRecord | None = None
     predecessor_ended: anyio.Event = field(default_factory=anyio.Event)
+    holds: dict[HostId, float] = field(default_factory=dict)
 
 
 class Election:
@@ -338,7 +340,7 @@
     async def _release(self, term: Term) -> None:
         """Delete the leader key, and record that nothing happens in the term any more."""
         compares = [Compare(self._epoch_key, term.epoch_revision)]
-        record = LeaderRecord(term.epoch, self._entry, self._incarnation, ended=True)
+        record = LeaderRecord(term.epoch, self._entry, self._incarnation, True, term.holds)
         release = (Delete(self._leader_key), Put(self._epoch_key, record.encode()))
         try:
             with anyio.move_on_after(DRAIN_WRITE_S):
--- a/packages/core/src/apricotpath/entryrecords.py
+++ b/packages/core/src/apricotpath/entryrecords.py
@@ -1,19 +1,21 @@
 """Records of entries in the store: the registration of an entry and the elected leader."""
 
 import logging
-from collections.abc import Callable
-from dataclasses import dataclass
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from itertools import islice
 from typing import Any, Generic, Self, TypeVar
 
 from apricotpath.config import Address
 from apricotpath.errors import InputError
-from apricotpath.ids import Epoch, IncarnationId, ProcessId
+from apricotpath.ids import Epoch, HostId, IncarnationId, ProcessId
 from apricotpath.jsonfields import (
     parse_object,
     read_address,
     read_bool,
     read_int,
     read_number,
+    read_object,
     read_str,
 )
 from apricotpath.jsontext import json_bytes
@@ -21,7 +23,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RECORD_BYTES = 4096
+MAX_RECORD_BYTES = 16 << 10
+# Hosts whose holds a record tells; the runs of others are held for the full time.
+MAX_HOLDS = 100
 # Fencing tokens are epochs shifted by 24 bits, and must fit a signed integer of 64 bits.
 MAX_EPOCH = 1 << 38
 # Keys whose newest record is remembered by a reader.
@@ -72,13 +76,15 @@
 class LeaderRecord:
     """The leader as stored under the leader key and the epoch key.
 
-    Once its term has `ended`, it does nothing in that term any more.
+    Once its term has `ended`, it does nothing in that term any more. `holds` then tells for
+    how many seconds from then on runs may continue on hosts that were not attached to it.
     """
 
     epoch: Epoch
     entry: ProcessId
     incarnation: IncarnationId
     ended: bool = False
+    holds: Mapping[HostId, float] = field(default_factory=dict)
 
     @classmethod
     def parse(cls, value: bytes) -> Self:
@@ -89,6 +95,7 @@
             ProcessId(read_str(content, "entry")),
             IncarnationId(read_str(content, "incarnation")),
             read_bool(content, "ended", False),
+            _parse_holds(content),
         )
 
     def encode(self) -> bytes:
@@ -99,11 +106,17 @@
                 "entry": self.entry,
                 "incarnation": self.incarnation,
                 "ended": self.ended,
+                "holds": dict(islice(self.holds.items(), MAX_HOLDS)),
                 "token": new_token(),
             }
         )
 
 
+def _parse_holds(content: dict[str, Any]) -> Mapping[HostId, float]:
+    holds = read_object(content, "holds", {})
+    return {HostId(host): read_number(holds, host, low=0) for host in holds}
+
+
 def _parse_record(value: bytes) -> dict[str, Any]:
     if len(value) > MAX_RECORD_BYTES:
         raise InputError(f"the record is longer than {MAX_RECORD_BYTES} bytes")
--- a/packages/daemon/src/apricotpathd/hosttracker.py
+++ b/packages/daemon/src/apricotpathd/hosttracker.py
@@ -127,6 +127,14 @@
         self._wake()
         return HostAttached(self._term.epoch, host.fence)
 
+    def holds(self, now: float) -> dict[HostId, float]:
+        """Return for how many seconds runs may continue on the hosts that are not attached."""
+        return {
+            name: round(max(0.0, host.runs_until - now), 3)
+            for name, host in self.hosts.items()
+            if name not in self.links and self._table.by_host.get(name)
+        }
+
     def limit_holds(self, until: float) -> None:
         """Set the time by which runs have ended on hosts that have not attached in this term."""
         for host in self.hosts.values():
--- a/packages/daemon/src/apricotpathd/scheduler.py
+++ b/packages/daemon/src/apricotpathd/scheduler.py
@@ -140,6 +140,8 @@
                 await self._run_loop()
             except FencedError as exc:
                 log.warning("%s", exc, extra={"epoch": self.epoch})
+            finally:
+                self.term.holds.update(self.host_tracker.holds(boot_s()))
             group.cancel_scope.cancel()
 
     @property
@@ -167,9 +169,12 @@
         hold_s = self.cfg.run_hold_s
         if not self.term.predecessor_ended.is_set():
             hold_s += self.cfg.authority_s
+        predecessor = self.term.predecessor
+        known = predecessor.holds if predecessor is not None else {}
         hosts = [name for name, runs in self.table.by_host.items() if runs]
         for name in hosts:
-            self.host_tracker.hosts[name] = Host(name, runs_until=self._started + hold_s)
+            until = self._started + min(hold_s, known.get(name, hold_s))
+            self.host_tracker.hosts[name] = Host(name, runs_until=until)
         log.info("runs of the last term held", extra={"hosts": len(hosts), "hold_s": hold_s})
 
     async def _shorten_holds(self) -> None:
