--- a/tests/features/replacements.feature
+++ b/tests/features/replacements.feature
@@ -119,6 +119,21 @@
     When the scheduler is told to stop while the store is away for 7 seconds
     Then no run of the replacements was stopped
 
+  # An entry that resigned while its election was written scheduled on, and its term was never ended.
+  Scenario: replacements let no entry schedule that resigns while it is elected
+    Given a world of replacements with 2 entries and 4 hosts
+    And 6 long-running tasks at work
+    When the scheduler is killed and the other entry resigns while its election is written
+    Then no entry that has resigned schedules
+
+  # An ended executor stayed ended for its agent whatever it heard of it.
+  Scenario: replacements use an executor again that sends heartbeats after it counted as ended
+    Given a world of replacements with 2 entries and 2 hosts
+    And 2 long-running tasks at work
+    When a late deregistration arrives at the agent of the host with most tasks, and one connection is refused
+    And that host's executor sends no heartbeat for 1.5 seconds
+    Then the agents of the replacements are attached for executors that run
+
   # Each scheduler began the hold of a lost host anew.
   Scenario: replacements run the tasks of a lost host again after its lease while schedulers follow one another
     Given a world of replacements with 3 entries and 4 hosts
--- a/tests/features/steps/replacements_steps.py
+++ b/tests/features/steps/replacements_steps.py
@@ -48,6 +48,8 @@
         self.without_scheduler_s = 0.0
         self.violations: list[str] = []
         self.replaced: set[int] = set()
+        self.resigned: Any = None
+        self.term_after_resigning: Any = None
         self.late_calls = 0
         self.most_stops = 0
         self._world: JobWorld | None = None
@@ -82,6 +84,8 @@
                     watched.start_soon(action, self)
             await anyio.sleep(SETTLE_S)
             self.violations = world.violations()
+            if self.resigned is not None:
+                self.term_after_resigning = self.resigned.jobs.election.term
             group.cancel_scope.cancel()
 
     async def _watch(self) -> None:
@@ -429,6 +433,61 @@
     scenario(context).background.append(act)
 
 
+@when("the scheduler is killed and the other entry resigns while its election is written")
+def resign_while_elected(context: Any) -> None:
+    async def act(run: Replacements) -> None:
+        leader = run.world.leader()
+        assert leader is not None
+        other = next(node for node in run.world.entries.values() if node is not leader)
+        run.resigned = other
+        commit = other.store.txn
+
+        async def commit_and_resign(compares: Any, operations: Any) -> Any:
+            if len(compares) == 2 and not other.jobs.election._resigned:
+                run.world.group.start_soon(other.jobs.resign)
+            return await commit(compares, operations)
+
+        other.store.txn = commit_and_resign  # type: ignore[method-assign]
+        await other.process.drain()
+        await run.world.kill(leader)
+
+    scenario(context).background.append(act)
+
+
+@then("no entry that has resigned schedules")
+def none_resigned(context: Any) -> None:
+    scenario(context).run()
+    election = scenario(context).resigned.jobs.election
+    assert scenario(context).term_after_resigning is None, election
+
+
+@when(
+    "a late deregistration arrives at the agent of the host with most tasks, "
+    "and one connection is refused"
+)
+def refuse_once(context: Any) -> None:
+    async def act(run: Replacements) -> None:
+        node = run.world.agents[run.busiest]
+        executor: Any = node.agent.executor
+        renew_lease = executor.renew_lease
+
+        async def refuse(*args: Any) -> Any:
+            executor.renew_lease = renew_lease
+            raise ExecutorUnreachable("no file descriptor is left for a connection")
+
+        executor.renew_lease = refuse
+        node.agent.on_executor_shutdown(node.model.name)
+
+    scenario(context).background.append(act)
+
+
+@then("the agents of the replacements are attached for executors that run")
+def all_in_use(context: Any) -> None:
+    scenario(context).run()
+    phases = [node.agent.phase for node in scenario(context).world.agents.values()]
+    assert ExecutorPhase.ENDED not in phases, phases
+
+
 class CallCounter:
     """Counts the calls of an executor: stops of one run at a time, and calls after its end."""
 
