--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -207,7 +207,9 @@
                     term = await self._acquire(self._lease)
                     if term is not None:
                         self._released = anyio.Event()
-                        await self._serve(term)
+                        # The entry may have resigned while its election was written.
+                        if not self._resigned:
+                            await self._serve(term)
                         if self.draining:
                             await self._release(term)
                         self._released.set()
