--- a/packages/daemon/src/apricotpathd/hostagent.py
+++ b/packages/daemon/src/apricotpathd/hostagent.py
@@ -108,6 +108,10 @@
             self._endings = ()
             self.phase = ExecutorPhase.REGISTERED
             self._detach("the executor has restarted")
+        elif self.phase is ExecutorPhase.ENDED:
+            log.warning("executor has not ended", extra={"instance": state.facts.instance})
+            self.phase = ExecutorPhase.DEREGISTERED
+            self._detach("the executor has not ended")
         if previous is None or state.draining != previous.draining:
             log.info("executor state", extra={"draining": state.draining})
         self._signal()
--- a/tests/features/httpcalls.feature
+++ b/tests/features/httpcalls.feature
@@ -13,3 +13,14 @@
     Given a httpcalls server that answers after 0.1 seconds
     When httpcalls makes 80 calls at once
     Then the httpcalls server had at most 32 requests in flight and answered all of them
+
+  # Any failed connection counted as proof that an executor has ended.
+  Scenario Outline: httpcalls takes only a refused connection as proof that nobody listens
+    When httpcalls calls an address at which <failure>
+    Then the httpcalls outcome is <outcome>
+
+    Examples:
+      | failure                     | outcome           |
+      | nothing listens             | ConnectionRefused |
+      | no descriptor is left       | CallFailed        |
+      | the network is unreachable  | CallFailed        |
--- a/tests/features/steps/httpcalls_steps.py
+++ b/tests/features/steps/httpcalls_steps.py
@@ -1,9 +1,11 @@
 """Steps for httpcalls.feature."""
 
 import asyncio
+import socket
 import ssl
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, nullcontext
+from errno import EMFILE, ENETUNREACH
 from typing import Any
 from unittest import mock
 
@@ -117,3 +119,35 @@
 def bounded(context: Any, max_in_flight: int) -> None:
     assert context.server.max_in_flight <= max_in_flight, context.server.max_in_flight
     assert set(context.outcomes) == {"200"}, context.outcomes
+
+
+@when("httpcalls calls an address at which {failure}")
+def call_failing_address(context: Any, failure: str) -> None:
+    caller = HttpCaller(Address("127.0.0.1", unused_port()), JobMetrics())
+    numbers = {"no descriptor is left": EMFILE, "the network is unreachable": ENETUNREACH}
+    connecting = nullcontext()
+    if failure in numbers:
+        error = OSError(numbers[failure], failure)
+        connecting = mock.patch("anyio.connect_tcp", side_effect=error)
+
+    async def call() -> None:
+        try:
+            await caller.call("GET", "/kv-key", timeout_s=0.5)
+        except CallFailed as exc:
+            context.outcome = type(exc).__name__
+
+    with connecting:
+        anyio.run(call)
+
+
+def unused_port() -> int:
+    """Return a port of the loopback interface on which nothing listens."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        port: int = sock.getsockname()[1]
+        return port
+
+
+@then("the httpcalls outcome is {outcome:w}")
+def check_outcome(context: Any, outcome: str) -> None:
+    assert context.outcome == outcome, context.outcome
