--- a/packages/core/src/apricotpath/runplacement.py
+++ b/packages/core/src/apricotpath/runplacement.py
@@ -1,7 +1,7 @@
 """Placement of waiting tasks on hosts: pure functions over the job and host tables."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from statistics import median
 from typing import NamedTuple
 
@@ -51,14 +51,16 @@
 class HostLoad:
     """Resources committed on one host during a placement pass.
 
-    `claimed` is what tasks reserve; filler tasks reserve no processors. `used`
-    estimates the processors in use, filler tasks included, in thousandths of
-    a core. `fillers` and `serving` count tasks, `steps` counts tasks by step.
+    `claimed` is what tasks reserve; filler tasks reserve no processors. `long_running`
+    is the part of it that long-running tasks reserve. `used` estimates the
+    processors in use, filler tasks included, in thousandths of a core.
+    `fillers` and `serving` count tasks, `steps` counts tasks by step.
     """
 
     host: Host
     capacity: Size
     claimed: Size = NO_SIZE
+    long_running: Size = NO_SIZE
     used: float = 0.0
     fillers: int = 0
     serving: int = 0
@@ -71,6 +73,8 @@
         """Commit one more task."""
         self.fillers += step.filler
         self.claimed = self.claimed + _reserved_size(step)
+        if step.long_running:
+            self.long_running = self.long_running + _reserved_size(step)
         if step.long_running and not step.filler:
             self.serving += 1
             self.used += step.size.cpu_milli * SERVING_CPU_SHARE
@@ -78,6 +82,11 @@
             self.used += step.size.cpu_milli
         self.steps[task.step_key] = self.steps.get(task.step_key, 0) + 1
 
+    def restore(self, saved: "HostLoad") -> None:
+        """Take back the tasks committed since `saved` was copied from this load."""
+        self.claimed, self.long_running, self.used = saved.claimed, saved.long_running, saved.used
+        self.fillers, self.serving, self.steps = saved.fillers, saved.serving, saved.steps
+
     def fits(self, step: Step) -> bool:
         """Return whether one more task of a step fits without slowing the tasks already there."""
         limit = self.filler_share(step) * self.capacity.cpu_milli
@@ -97,6 +106,11 @@
         """Return whether the host has the resources that one more task of a step reserves."""
         return (self.claimed + _reserved_size(step)).fits_in(self.capacity)
 
+    def can_make_room_for(self, step: Step) -> bool:
+        """Return whether one more task of a step fits once all but long-running tasks end."""
+        left = self.capacity - self.long_running
+        return step.size.fits_in(self.capacity) and _reserved_size(step).fits_in(left)
+
     def within_max_per_host(self, task: TaskKey, step: Step) -> bool:
         """Return whether one more task of a step stays within the step's limit per host."""
         return not step.max_per_host or self.steps.get(task.step_key, 0) < step.max_per_host
@@ -351,7 +365,7 @@
     eligible = [
         load
         for load in candidates
-        if group.step.size.fits_in(load.capacity) and load.within_max_per_host(task.key, group.step)
+        if load.can_make_room_for(group.step) and load.within_max_per_host(task.key, group.step)
     ]
     if eligible:
         closest = min(eligible, key=lambda load: load.claimed.cpu_milli - load.capacity.cpu_milli)
@@ -386,16 +400,12 @@
 ) -> list[HostLoad] | None:
     """Return a host for each member and commit them, or change nothing and return None."""
     chosen: list[HostLoad] = []
-    before = [(load, load.claimed, load.used, load.fillers, load.serving) for load in pool]
-    counts = [dict(load.steps) for load in pool]
+    before = [replace(load, steps=dict(load.steps)) for load in pool]
     for task in members:
         load = choose_host(group, task, pool)
         if load is None:
-            for (restored, claimed, used, fillers, serving), steps in zip(
-                before, counts, strict=True
-            ):
-                restored.claimed, restored.used, restored.steps = claimed, used, steps
-                restored.fillers, restored.serving = fillers, serving
+            for changed, saved in zip(pool, before, strict=True):
+                changed.restore(saved)
             return None
         load.add(task.key, group.step)
         chosen.append(load)
--- a/packages/core/src/apricotpath/waitreasons.py
+++ b/packages/core/src/apricotpath/waitreasons.py
@@ -67,6 +67,8 @@
 
 def resource_shortage(load: HostLoad, step: Step) -> str:
     """Return which resource a host lacks for one more task of a step; empty if it has room."""
+    if not load.can_make_room_for(step):
+        return "long-running tasks"
     free = load.capacity - load.claimed
     if free.cpu_milli < step.size.cpu_milli and not step.filler:
         return "processors reserved"
--- a/tests/features/runplacement.feature
+++ b/tests/features/runplacement.feature
@@ -169,5 +169,34 @@
       | processors reserved      |
       | processors in use        |
       | memory reserved          |
+      | long-running tasks       |
       | enough tasks of the step |
       | has room                 |
+
+  # Guards against a large task that waits for a host whose long-running tasks leave it no room.
+  Scenario: runplacement reserves no host that long-running tasks keep too full for the waiting one
+    Given runplacement hosts a and b of 8 cores
+    And a serving task of 5 cores runs on runplacement host a
+    And a serving task of 4 cores runs on runplacement host b
+    And 3 tasks of 1 core run on runplacement host b
+    And a serving task of 4 cores has waited 3 seconds for runplacement
+    When a step of 2 tasks of 1 core is placed by runplacement
+    Then runplacement puts 2 on a and 0 on b
+
+  # Guards against a host kept free for a task that can never run there.
+  Scenario: runplacement reserves no host if long-running tasks keep all of them too full
+    Given runplacement hosts a and b of 8 cores
+    And a serving task of 5 cores runs on runplacement host a
+    And a serving task of 5 cores runs on runplacement host b
+    And a serving task of 4 cores has waited 3 seconds for runplacement
+    When a step of 6 tasks of 1 core is placed by runplacement
+    Then runplacement puts 3 on a and 3 on b
+
+  # Guards against a long-running task that waits beside a host with room for it.
+  Scenario: runplacement starts a serving task although a larger one fits nowhere
+    Given runplacement hosts a and b of 8 cores
+    And a serving task of 5 cores runs on runplacement host a
+    And a serving task of 6 cores runs on runplacement host b
+    And a serving task of 4 cores has waited 3 seconds for runplacement
+    When a step of 1 serving tasks of 3 cores is placed by runplacement
+    Then runplacement puts 1 on a and 0 on b
--- a/tests/features/steps/runplacement_steps.py
+++ b/tests/features/steps/runplacement_steps.py
@@ -170,6 +170,17 @@
     context.case.add(step(1, cores), seconds)
 
 
+@given("a serving task of {cores:d} cores has waited {seconds:d} seconds for runplacement")
+def waiting_serving(context: Any, cores: int, seconds: int) -> None:
+    context.case.add(step(1, cores, long_running=True, target_ms=10.0), seconds)
+
+
+@given("{count:d} tasks of {cores:d} core run on runplacement host {host:w}")
+def running_on_one(context: Any, count: int, cores: int, host: str) -> None:
+    for _ in range(count):
+        context.case.run(host, step(1, cores))
+
+
 @when("a step of {count:d} tasks of {cores:d} core is placed by runplacement")
 def place_tasks(context: Any, count: int, cores: int) -> None:
     context.case.add(step(count, cores, label="stone"))
@@ -445,6 +456,8 @@
             case.run(host, Step(1, Size(CORE, 3950, 0), filler=True))
         elif reason == "processors in use":
             case.run(host, step(1, 5, filler=True))
+        elif reason == "long-running tasks":
+            case.run(host, step(1, 3.5, long_running=True))
     limit = 1 if reason == "enough tasks of the step" else 0
     job = case.add(step(3, 1, filler=reason == "processors in use", max_per_host=limit), 3.0)
     if limit:
