--- a/packages/cli/src/apricotpath_cli/logtimeline.py
+++ b/packages/cli/src/apricotpath_cli/logtimeline.py
@@ -13,7 +13,7 @@
 SUBJECT_FIELDS = ("job", "task", "tasks")
 COMMON_FIELDS = ("time", "level", "logger", "text", "process_id")
 # Texts of periodic lines, which are about no particular job.
-PERIODIC_TEXTS = frozenset({"fleet", "filler tasks paced"})
+PERIODIC_TEXTS = frozenset({"fleet", "filler tasks paced", "traffic"})
 
 LogLine = dict[str, Any]
 
