--- a/packages/daemon/src/apricotpathd/attachment.py
+++ b/packages/daemon/src/apricotpathd/attachment.py
@@ -44,6 +44,7 @@
     started_at: float = float("inf")
     pace_percent: int = 100
     pace_sent_at: float = float("-inf")
+    pace_unanswered: bool = False
 
 
 @dataclass(slots=True)
--- a/packages/daemon/src/apricotpathd/fillerpacing.py
+++ b/packages/daemon/src/apricotpathd/fillerpacing.py
@@ -75,7 +75,7 @@
             filler_views, speed_limits(percent, pressures), strict=True
         ):
             repeat = pace < 100 and now - view.pace_sent_at > PACE_REPEAT_S
-            if view.pace_percent != pace or repeat:
+            if view.pace_percent != pace or repeat or view.pace_unanswered:
                 view.pace_percent, view.pace_sent_at = pace, now
                 self._send_soon(attached, executor, (status.task, status.run), view)
 
@@ -119,8 +119,10 @@
         sent: int | None = None
         while view.pace_percent != sent and attached.views.get(name) is view:
             sent = view.pace_percent
+            view.pace_unanswered = True
             try:
                 await executor.pace(*name, sent, attached.fence)
+                view.pace_unanswered = False
             except ExecutorError as exc:
                 log.info("pace not set: %s", exc, extra={"task": name[0], "percent": sent})
         self._sending.discard(name)
--- a/tests/features/hostagent.feature
+++ b/tests/features/hostagent.feature
@@ -72,6 +72,14 @@
     When the hostagent's serving task has a tail latency of 40 of 100 ms for 8 seconds
     Then the hostagent's filler task is paced above 80 within 1 second
 
+  # A filler task stayed paced down for good if the executor did not answer the call that released it.
+  Scenario: hostagent repeats a pace that its executor did not answer
+    Given a hostagent whose scheduler grants
+    When a serving task with a tail latency of 150 of 100 ms and a filler run at the hostagent
+    Then the hostagent's filler task is paced below 40 within 1 second
+    When the hostagent's executor answers no pace calls while its serving task has ended for 3 seconds
+    Then the hostagent's filler task is paced above 99 within 1 second
+
   # Runs lapsed because unanswered pace calls delayed the renewal of their lease.
   Scenario: hostagent renews the lease in time while its executor answers no pace calls
     Given a hostagent whose scheduler grants
--- a/tests/features/steps/hostagent_steps.py
+++ b/tests/features/steps/hostagent_steps.py
@@ -520,3 +520,26 @@
 @then("no run of the hostagent has lapsed")
 def none_lapsed(context: Any) -> None:
     assert not any(e.result is RunResult.LAPSED for e in context.case.model.endings)
+
+
+@when(
+    "the hostagent's executor answers no pace calls while its serving task has ended "
+    "for {seconds:d} seconds"
+)
+def end_serving_without_answers(context: Any, seconds: int) -> None:
+    case: AgentCase = context.case
+
+    async def act() -> None:
+        executor: Any = case.agent.executor
+        pace = executor.pace
+
+        async def no_answer(*_: Any) -> None:
+            await anyio.sleep(0.5)
+            raise ExecutorUnavailable("no answer")
+
+        executor.pace = no_answer
+        case.model.end(case.model.runs[TASK, 1], RunResult.STOPPED)
+        await anyio.sleep(seconds)
+        executor.pace = pace
+
+    case.actions.append(act)
