--- a/packages/core/src/apricotpath/election.py
+++ b/packages/core/src/apricotpath/election.py
@@ -139,7 +139,7 @@
         # While the store cannot be written, no other entry could be elected.
         if not self._drain_stored or self._term_scope is None:
             return
-        if self._has_peer_that_stays():
+        if self._has_non_draining_peer():
             log.info("leadership handed over")
             self._term_scope.cancel()
 
@@ -224,7 +224,7 @@
         is draining leaves it to any entry that is not.
         """
         now = boot_s()
-        if self._resigned or (self.draining and self._has_peer_that_stays()):
+        if self._resigned or (self.draining and self._has_non_draining_peer()):
             return False
         if not self._is_vacant():
             self._vacant_since = float("inf")
@@ -240,7 +240,7 @@
                 if record is not None:
                     yield ProcessId(key.removeprefix(self._entry_prefix)), record
 
-    def _has_peer_that_stays(self) -> bool:
+    def _has_non_draining_peer(self) -> bool:
         return any(not record.draining for _, record in self._peer_records())
 
     def _has_peer_with_more_cores(self) -> bool:
--- a/packages/core/src/apricotpath/runlog.py
+++ b/packages/core/src/apricotpath/runlog.py
@@ -33,6 +33,7 @@
 MAX_PART_BYTES = 512 << 10
 # Records handled at a time; other tasks of the process, such as lease renewals, run in between.
 RECORDS_PER_SLICE = 200
+LIST_RETRY_S = 0.1
 # Log entries after which a snapshot is due.
 SNAPSHOT_EVERY = 1500
 
@@ -157,8 +158,9 @@
         while True:
             try:
                 result = await self.store.range(f"{self._prefix}parts/")
-            except (StoreUnavailable, StoreLimited):
-                await anyio.sleep(0.1)
+            except StoreError as exc:
+                log.info("parts of the snapshot not listed: %s", exc)
+                await anyio.sleep(LIST_RETRY_S)
                 continue
             new = self._part_prefix(seq)
             return [item.key for item in result.items if not item.key.startswith(new)]
--- a/packages/daemon/src/apricotpathd/hostagent.py
+++ b/packages/daemon/src/apricotpathd/hostagent.py
@@ -55,8 +55,9 @@
 ATTACH_RETRY_S = 0.1
 # Pause between two attempts of an order that the executor did not answer.
 ORDER_RETRY_S = 0.05
-# Number of reports whose send times are kept; reports are at least 0.4 s apart.
-MAX_RENEWALS = 64
+# Number of reports whose send times are kept. A report follows each acknowledgement of endings, so
+# up to 50 are sent per second.
+MAX_RENEWALS = 512
 
 
 class HostAgent:
@@ -231,7 +232,8 @@
             await anyio.sleep(RENEWAL_RETRY_S)
         except ExecutorError as exc:
             log.info("lease renewal failed: %s", exc)
-            if self.phase is ExecutorPhase.DEREGISTERED and isinstance(exc, ExecutorUnreachable):
+            refused = isinstance(exc, ExecutorUnreachable) and executor is self.executor
+            if refused and self.phase is ExecutorPhase.DEREGISTERED:
                 log.info("executor ended", extra={"instance": attached.facts.instance})
                 self.phase = ExecutorPhase.ENDED
                 return
--- a/tests/features/steps/replacements_steps.py
+++ b/tests/features/steps/replacements_steps.py
@@ -134,7 +134,7 @@
         await anyio.sleep(AGENT_STOP_DELAY_S)
         await self.world.stop_agent(old)
 
-    async def add_host(self, old: int) -> None:
+    async def replace_host_once(self, old: int) -> None:
         """Replace a host, unless it is being replaced already."""
         if old not in self.replaced:
             self.replaced.add(old)
@@ -194,7 +194,7 @@
         return self.rng.choice([n for n, node in agents.items() if not node.scope.cancel_called])
 
     async def replace_host(self) -> None:
-        await self.run.add_host(self.rng.randrange(3))
+        await self.run.replace_host_once(self.rng.randrange(3))
 
     async def restart_entry(self) -> None:
         name = self.rng.choice(list(self.run.world.entries))
