--- a/packages/daemon/src/apricotpathd/hosttracker.py
+++ b/packages/daemon/src/apricotpathd/hosttracker.py
@@ -37,8 +37,8 @@
 STOP_RESEND_S = 0.6
 # Interval at which hosts with both serving and filler tasks get new interference estimates.
 TRAITS_INTERVAL_S = 2.0
-# A host whose executor lacked capacity for a start gets no starts for this time.
-NO_CAPACITY_PAUSE_S = 0.15
+# A host that rejected a start gets no starts for this time; its next report tells why.
+REJECTED_PAUSE_S = 0.15
 # The progress of a run counts as a measure of its host's speed only after this time.
 MIN_SPEED_SAMPLE_S = 0.8
 MAX_REPORT_GAP_S = 1.0
@@ -272,8 +272,8 @@
                 continue
             if answer.answer is StartAnswer.STARTED:
                 continue
-            if answer.answer is StartAnswer.UNFIT:
-                host.set_aside_until = max(host.set_aside_until, now + NO_CAPACITY_PAUSE_S)
+            if answer.answer in (StartAnswer.UNFIT, StartAnswer.REFUSED):
+                host.set_aside_until = max(host.set_aside_until, now + REJECTED_PAUSE_S)
             elif answer.answer is StartAnswer.BROKEN and host.record_failure(key.job, now):
                 log.warning("host set aside", extra={"host": host.host, "reason": "refuses starts"})
             self.mark_lost(run, f"its start was answered {answer.answer.value}")
--- a/tests/features/jobworld.feature
+++ b/tests/features/jobworld.feature
@@ -80,6 +80,14 @@
     And no invariant of the jobworld was violated
     And tasks of the jobworld started at most 6 times
 
+  # Guards against orders that go again and again to a host that refuses them, in each pass.
+  Scenario: jobworld orders a task elsewhere once a leaving host has refused it
+    Given a jobworld of 2 entries and 2 agents
+    When a job of 6 tasks is submitted to the jobworld just as the executor of host0 begins to leave
+    Then the jobworld's job is completed within 5 seconds
+    And no invariant of the jobworld was violated
+    And no task of the jobworld was ordered more than 2 times
+
   Scenario: jobworld tells an agent of the next scheduler through an entry that does not schedule
     Given a jobworld of 6 entries and 2 agents
     When host0 of the jobworld is linked to the scheduler and one other entry, and the scheduler is killed
--- a/tests/features/steps/jobworld_steps.py
+++ b/tests/features/steps/jobworld_steps.py
@@ -11,6 +11,7 @@
 from apricotpath.ids import JobId, TaskId
 from apricotpath.model import Size
 from apricotpath.workload import Job, Step
+from apricotpathd.attachment import ExecutorState
 from support.jobworld import QUEUE, JobWorld, run_virtual
 
 CORE = Size(1000, 100, 0)
@@ -509,6 +510,32 @@
         await anyio.sleep(0.3)
 
 
+@when(
+    "a job of {count:d} tasks is submitted to the jobworld "
+    "just as the executor of {host:w} begins to leave"
+)
+def submit_beside_leaving(context: Any, count: int, host: str) -> None:
+    async def act(run: Script) -> None:
+        world = run.running_world
+        node = world.agents[host]
+        node.sends_heartbeats = False
+        # The scheduler hears of it only with the next report.
+        while node.agent.attachment is None or not node.agent.attachment.reported:
+            await anyio.sleep(0.01)
+        assert node.agent.state is not None
+        node.agent.on_executor_heartbeat(ExecutorState(node.agent.state.facts, draining=True))
+        run.jobs.append(await world.submit(Step(count, CORE, 1.0)))
+
+    script(context).actions.append(act)
+
+
+@then("no task of the jobworld was ordered more than {times:d} times")
+def ordered_at_most(context: Any, times: int) -> None:
+    models = [node.model for node in script(context).running_world.agents.values()]
+    found = [(task, run) for model in models for task, run, _, _ in model.history]
+    assert found and max(run for _, run in found) <= times, found
+
+
 @when("every agent attaches again while the starts of a job of {count:d} tasks are written")
 def attach_during_write(context: Any, count: int) -> None:
     async def act(run: Script) -> None:
