--- a/tests/features/platformpath.feature
+++ b/tests/features/platformpath.feature
@@ -138,3 +138,9 @@
     When a client posts each malformed job at platformpath's front-1
     Then platformpath has refused each of them
     And each process of platformpath that was not killed still runs
+
+  # An agent told nobody that its executor had shut down.
+  Scenario: platformpath learns that an executor has ended from its deregistration and closed port
+    When platformpath's executor of side-2 shuts down
+    Then platformpath's agent side-2 knows within 3 seconds that its executor has ended
+    And each process of platformpath that was not killed still runs
--- a/tests/features/steps/platformpath_steps.py
+++ b/tests/features/steps/platformpath_steps.py
@@ -530,6 +530,24 @@
         time.sleep(1.0)
 
 
+@when("platformpath's executor of {name} shuts down")
+def shut_down_executor(context: Any, name: str) -> None:
+    world = running(context).world
+    world.shut_down_executor(name)
+
+    def restart() -> None:
+        world.portal.call(world.executors[name].model.crash)
+        world.start_executor(name)
+
+    context.add_cleanup(restart)
+
+
+@then("platformpath's agent {name} knows within {seconds:d} seconds that its executor has ended")
+def knows_end(context: Any, name: str, seconds: int) -> None:
+    world = running(context).world
+    world.wait(lambda: world.status(name, "/debug").json()["executor_phase"] == "ended", seconds)
+
+
 @when("platformpath's executor of {name} begins to drain")
 def begin_drain(context: Any, name: str) -> None:
     executor = running(context).world.executors[name]
--- a/tests/support/platformworld.py
+++ b/tests/support/platformworld.py
@@ -74,9 +74,12 @@
         self.status_ports: dict[str, int] = {}
         self.behaviour = Behaviour(seconds=0.5)
         self.executors: dict[str, ExecutorApp] = {}
+        self._executor_tasks: dict[str, list[Any]] = {}
 
-    def _serve(self, app: Any, port: int) -> None:
-        self.serving.append(self.portal.start_task_soon(serve_app, app, port))
+    def _serve(self, app: Any, port: int) -> Any:
+        task = self.portal.start_task_soon(serve_app, app, port)
+        self.serving.append(task)
+        return task
 
     def start(self) -> None:
         """Start two entries and two agents, and wait until the entries are ready."""
@@ -113,12 +116,26 @@
         model = self.portal.call(ExecutorModel, f"i-{name}", Size(8000, 8000, 0), self.behaviour)
         executor = ExecutorApp(model, SERVICE, "z1", settings["app"])
         self.executors[name] = executor
-        self._serve(executor, app_port)
-        self.serving.append(
-            self.portal.start_task_soon(executor.send_heartbeats, settings["listen"]["control"])
-        )
+        self.start_executor(name)
         self.run(name)
 
+    def start_executor(self, name: str) -> None:
+        """Serve the executor of an agent and let it send heartbeats."""
+        settings, executor = self.settings[name], self.executors[name]
+        control = settings["listen"]["control"]
+        heartbeats = self.portal.start_task_soon(executor.send_heartbeats, control)
+        self.serving.append(heartbeats)
+        port = int(settings["app"].rsplit(":", 1)[1])
+        self._executor_tasks[name] = [heartbeats, self._serve(executor, port)]
+
+    def shut_down_executor(self, name: str) -> None:
+        """Deregister the executor of an agent and stop serving it."""
+        for task in self._executor_tasks.pop(name):
+            task.cancel()
+        control = self.settings[name]["listen"]["control"]
+        instance = self.executors[name].model.name
+        httpx.delete(f"http://{control}/instances/{instance}", timeout=1.0, trust_env=False)
+
     def run(self, name: str) -> None:
         """Start or restart the process of a node."""
         path = self.folder / f"{name}.json"
